--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -6,6 +6,8 @@
 """
 
 from collections.abc import Container
+from collections.abc import Iterable
+import itertools
 
 import msgspec
 
@@ -16,6 +18,19 @@
 MAX_FLOWS = 50_000
 """Maximum number of tracked flows; 16 MB at about 330 bytes each."""
 
+OPENING_TIMEOUT_S = 1.6
+"""Time after its last opening packet after which a flow that no target has
+accepted is removed, in seconds. Callers give up after 1.4 s."""
+
+REQUEST_TIMEOUT_S = 10.0
+"""Time after which a request without a reply no longer counts as work of its
+target, in seconds. Its caller has given up without closing the flow."""
+
+CLOSED_RETENTION_S = 3.0
+"""Time for which a closed flow is remembered, in seconds. Acknowledgements that
+its caller sends after the last packet don't count as a flow that was opened
+through another host."""
+
 SUSPENSION_S = 0.8
 """Time without a packet or a timer, in seconds, after which this host counts as
 suspended. Retransmissions read after that prove nothing about targets."""
@@ -35,6 +50,7 @@
         sequence: Sequence number after the last payload of the caller.
         pending_since_s: Time since which a request has no reply, in seconds;
             None if no request is pending.
+        is_closing: Whether the caller has sent its last packet.
     """
 
     target: target_table.TargetEntry
@@ -44,6 +60,7 @@
     acknowledged: int = 0
     sequence: int = 0
     pending_since_s: float | None = None
+    is_closing: bool = False
 
 
 class TargetActivity(msgspec.Struct):
@@ -53,13 +70,22 @@
         liveness: Evidence from flows of the target.
         domain_liveness: Evidence from all flows of its failure domain.
         flows: Flows that are open, or being opened, through this host.
-        pending: Flows whose last request has no reply.
+        opening: Those of them that the target has not accepted yet.
+        pending: Those of them whose last request has no reply.
+        last_opening: Number of the last opening packet that it was sent.
     """
 
     liveness: target_liveness.TargetLiveness
     domain_liveness: target_liveness.TargetLiveness
     flows: int = 0
+    opening: int = 0
     pending: int = 0
+    last_opening: int = 0
+
+    @property
+    def work(self) -> int:
+        """Requests in progress, including those about to be sent."""
+        return self.opening + self.pending
 
     def observe_retransmission(
         self, now_s: float, key: flow_packets.FlowKey
@@ -95,20 +121,41 @@
 
     Attributes:
         flows: Flows by key, the longest idle first.
+        opening: Keys of the flows that no target has accepted, the one with
+            the oldest opening packet first.
+        pending: Keys of the flows whose last request has no reply, the oldest
+            request first.
+        openings: Opening packets sent to targets since the start.
+        closed: Times at which flows were closed, in seconds, by key, the
+            earliest first.
         targets: Activity by name of the target.
         domains: Liveness by failure domain.
         responsive: Names of targets that replied, the most recent one last.
         last_event_s: Time of the last packet or timer, in seconds.
     """
 
-    __slots__ = ("domains", "flows", "last_event_s", "responsive", "targets")
+    __slots__ = (
+        "closed",
+        "domains",
+        "flows",
+        "last_event_s",
+        "opening",
+        "openings",
+        "pending",
+        "responsive",
+        "targets",
+    )
 
     def __init__(self) -> None:
         """Initializes an empty flow tracker."""
         self.flows: dict[flow_packets.FlowKey, Flow] = {}
+        self.opening: dict[flow_packets.FlowKey, None] = {}
+        self.pending: dict[flow_packets.FlowKey, None] = {}
+        self.closed: dict[flow_packets.FlowKey, float] = {}
         self.targets: dict[str, TargetActivity] = {}
         self.domains: dict[str, target_liveness.TargetLiveness] = {}
         self.responsive: dict[str, None] = {}
+        self.openings = 0
         self.last_event_s = float("inf")
 
     def check_suspension(self, now_s: float) -> bool:
@@ -152,14 +199,19 @@
         held = self.flows.pop(key, None)
         tried: tuple[str, ...] = ()
         if held is not None:
-            self._release(held)
+            self._release(key, held)
             if not held.is_open:
                 tried = held.tried
+        self.closed.pop(key, None)
         self.flows[key] = Flow(
             target, now_s, tried=(*tried, target.target.name)
         )
         activity = self.activity_of(target)
         activity.flows += 1
+        activity.opening += 1
+        self.openings += 1
+        activity.last_opening = self.openings
+        self.opening[key] = None
         activity.liveness.observe_opening(now_s)
         activity.domain_liveness.observe_opening(now_s)
         if len(self.flows) > MAX_FLOWS:
@@ -187,6 +239,8 @@
     ) -> bool:
         """Records a packet of an open flow.
 
+        Acknowledgements after the last packet of a flow are ignored.
+
         Args:
             now_s: Monotonic time in seconds.
             target: The target that it goes to.
@@ -196,13 +250,16 @@
             Whether the packet is a retransmission.
         """
         key = packet.flow
+        if key in self.closed and not packet.payload_bytes:
+            return False
         flow = self.flows.pop(key, None)
         activity = self.activity_of(target)
         if flow is None or flow.target.target.name != target.target.name:
             # The first packet of a flow that was opened through another host
             # proves nothing about its target.
             if flow is not None:
-                self._release(flow)
+                self._release(key, flow)
+            self.closed.pop(key, None)
             flow = Flow(
                 target,
                 now_s,
@@ -214,16 +271,28 @@
         self.flows[key] = flow
         flow.last_packet_s = now_s
         if not flow.is_open:
-            flow.is_open = True
+            self._accept(key, flow, activity)
             flow.sequence = packet.sequence
             self.observe_reply(now_s, target)
         elif packet.acknowledged != flow.acknowledged:
             self.observe_reply(now_s, target)
-            self._clear_pending(flow, activity)
+            self._clear_pending(key, flow, activity)
         flow.acknowledged = packet.acknowledged
-        if not packet.payload_bytes:
-            return False
-        return self._observe_payload(now_s, flow, packet, activity)
+        is_retransmission = bool(
+            packet.payload_bytes
+        ) and self._observe_payload(now_s, flow, packet, activity)
+        flow.is_closing = flow.is_closing or packet.is_last
+        if flow.is_closing and flow.pending_since_s is None:
+            self._close(now_s, key)
+        return is_retransmission
+
+    def _close(self, now_s: float, key: flow_packets.FlowKey) -> None:
+        """Removes a flow that its caller has closed."""
+        self.remove_flow(key)
+        self.closed.pop(key, None)
+        self.closed[key] = now_s
+        if len(self.closed) > MAX_FLOWS:
+            del self.closed[next(iter(self.closed))]
 
     def observe_reply(
         self, now_s: float, target: target_table.TargetEntry
@@ -252,27 +321,43 @@
             if flow.pending_since_s is None:
                 flow.pending_since_s = now_s
                 activity.pending += 1
+                self.pending[packet.flow] = None
             return False
         activity.observe_retransmission(now_s, packet.flow)
         return True
 
-    def _clear_pending(self, flow: Flow, activity: TargetActivity) -> None:
+    def _accept(
+        self, key: flow_packets.FlowKey, flow: Flow, activity: TargetActivity
+    ) -> None:
+        """Marks a flow as accepted by its target, unless it is."""
+        if not flow.is_open:
+            flow.is_open = True
+            activity.opening -= 1
+            del self.opening[key]
+
+    def _clear_pending(
+        self, key: flow_packets.FlowKey, flow: Flow, activity: TargetActivity
+    ) -> None:
         """Clears the pending request of a flow, if it has one."""
         if flow.pending_since_s is not None:
             flow.pending_since_s = None
             activity.pending -= 1
+            del self.pending[key]
 
     def remove_flow(self, key: flow_packets.FlowKey) -> None:
         """Removes a flow, if it is known."""
         flow = self.flows.pop(key, None)
         if flow is not None:
-            self._release(flow)
+            self._release(key, flow)
 
-    def _release(self, flow: Flow) -> None:
+    def _release(self, key: flow_packets.FlowKey, flow: Flow) -> None:
         """Removes a flow from the counts of its target."""
         activity = self.activity_of(flow.target)
         activity.flows -= 1
-        self._clear_pending(flow, activity)
+        if not flow.is_open:
+            activity.opening -= 1
+            del self.opening[key]
+        self._clear_pending(key, flow, activity)
 
     def remove_targets(self, known: Container[str]) -> None:
         """Removes targets that are no longer known and have no flows.
@@ -285,10 +370,41 @@
                 del self.targets[name]
                 self.responsive.pop(name, None)
 
-    def expire_idle(self, now_s: float, idle_s: float) -> None:
-        """Removes flows without a packet for `idle_s` seconds."""
-        while self.flows:
-            key, flow = next(iter(self.flows.items()))
-            if now_s - flow.last_packet_s <= idle_s:
-                return
+    def expire(self, now_s: float, idle_s: float) -> None:
+        """Removes flows that have ended without a last packet.
+
+        These are flows without a packet for `idle_s` seconds, and flows that no
+        target has accepted for `OPENING_TIMEOUT_S`. Requests without a reply
+        for `REQUEST_TIMEOUT_S` no longer count as work.
+        """
+        for key in self._older_than(self.flows, now_s - idle_s):
+            self.remove_flow(key)
+        for key in self._older_than(self.opening, now_s - OPENING_TIMEOUT_S):
             self.remove_flow(key)
+        for key in list(self.pending):
+            flow = self.flows[key]
+            since_s = flow.pending_since_s
+            if since_s is None or now_s - since_s <= REQUEST_TIMEOUT_S:
+                break
+            self._clear_pending(key, flow, self.activity_of(flow.target))
+        forgettable = itertools.takewhile(
+            lambda item: now_s - item[1] > CLOSED_RETENTION_S,
+            self.closed.items(),
+        )
+        for key, _ in list(forgettable):
+            del self.closed[key]
+
+    def _older_than(
+        self, keys: Iterable[flow_packets.FlowKey], before_s: float
+    ) -> list[flow_packets.FlowKey]:
+        """Returns the flows whose last packet came before a time.
+
+        Args:
+            keys: Flows in the order of their last packets.
+            before_s: The time in seconds.
+        """
+        return list(
+            itertools.takewhile(
+                lambda key: self.flows[key].last_packet_s < before_s, keys
+            )
+        )
--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -108,7 +108,7 @@
         now_s = event.now_s
         self.detector.check_suspension(now_s)
         idle_s = self.routes.idle_timeout_s or DEFAULT_IDLE_TIMEOUT_S
-        self.tracker.expire_idle(now_s, idle_s)
+        self.tracker.expire(now_s, idle_s)
         if len(self.tracker.targets) > len(self.targets.by_name):
             self.tracker.remove_targets(self.targets.by_name)
         result: list[effects.Effect] = [
@@ -251,11 +251,12 @@
             and now_s - entry.gone_s >= WITHDRAWAL_GRACE_S
         ):
             return self._reset_flow(now_s, packet, entry, "target-gone")
-        if packet.is_reset or packet.is_last:
-            if packet.is_reset:
-                self.tracker.remove_flow(packet.flow)
+        if packet.is_reset:
+            self.tracker.remove_flow(packet.flow)
             return self._send_to_target(packet, entry)
         is_retransmission = self.tracker.observe_packet(now_s, entry, packet)
+        if packet.is_last and not packet.payload_bytes:
+            return self._send_to_target(packet, entry)
         if self.detector.should_reset_flows(now_s, entry):
             return self._reset_flow(now_s, packet, entry, "target-silent")
         result = self._send_to_target(packet, entry)
--- a/packages/core/src/tamarack_core/internal/cookie/target_choice.py
+++ b/packages/core/src/tamarack_core/internal/cookie/target_choice.py
@@ -2,7 +2,9 @@
 
 The choice has to suit long flows with pauses beside short ones, opened through
 several hosts that share no table, while targets start cold, drain, become
-unresponsive and recover.
+unresponsive and recover. Load is the work in progress: the flow of a request
+that has ended counts for nothing, so that a target that has just started looks
+like the others and does not attract all openings.
 """
 
 from collections.abc import Collection
@@ -33,8 +35,9 @@
     targets that are suspect, alone or with their failure domain. A suspect
     target still gets one new flow per second as a trial. If all are suspect,
     the cause may be close to this host, and all are used. Of the best targets,
-    the one with the least load through this host is chosen, at random among
-    equals.
+    the one with the least load through this host is chosen. Targets of equal
+    load take turns: a host that is one of many rarely has two requests in
+    progress, and turns spread its openings more evenly than chance.
 
     Args:
         candidates: Targets of the service that accept new flows.
@@ -55,9 +58,14 @@
         for entry in usable
         if not tracker.activity_of(entry).is_avoided(now_s)
     ]
+    idle_share = _idle_flow_weight(tracker)
     return min(
         responsive or usable,
-        key=lambda entry: (_load(entry, tracker, now_s), generator.random()),
+        key=lambda entry: (
+            _load(entry, tracker, now_s, idle_share),
+            tracker.activity_of(entry).last_opening,
+            generator.random(),
+        ),
     )
 
 
@@ -65,10 +73,23 @@
     entry: target_table.TargetEntry,
     tracker: flow_tracker.FlowTracker,
     now_s: float,
+    idle_share: float,
 ) -> float:
-    """Returns the load of a target through this host, per slot."""
+    """Returns the load of a target through this host, per slot.
+
+    The new flow is included.
+    """
     activity = tracker.activity_of(entry)
-    work = 1.0 + activity.flows + activity.pending
+    idle = activity.flows - activity.work
+    work = 1.0 + activity.work + idle_share * idle
     if now_s < entry.warm_at_s:
         work *= COLD_FACTOR
     return work / max(entry.target.slots, 1)
+
+
+def _idle_flow_weight(tracker: flow_tracker.FlowTracker) -> float:
+    """Returns the share of open flows that have a request in progress.
+
+    An idle flow counts as that share of a request.
+    """
+    return len(tracker.pending) / max(len(tracker.flows), 1)
--- a/tests/cookie_host.py
+++ b/tests/cookie_host.py
@@ -15,6 +15,7 @@
 from tamarack_core import reducer
 from tamarack_core import sync
 from tamarack_core import target_announcement
+from tamarack_core.internal.cookie import flow_tracker
 from tamarack_core.internal.cookie import target_table
 
 SERVICE_ADDRESS = "198.18.0.1"
@@ -261,6 +262,7 @@
         acknowledged: int = 1,
         sequence: int = 1,
         payload_bytes: int = 0,
+        is_last: bool = False,
     ) -> str:
         """Sends a packet of an open flow.
 
@@ -275,12 +277,19 @@
                 acknowledged=acknowledged,
                 sequence=sequence,
                 payload_bytes=payload_bytes,
+                is_last=is_last,
             )
         )
         if sent and sent[0] == "forward":
             return str(sent[1])
         return str(sent[0]) if sent else ""
 
+    @property
+    def tracker(self) -> flow_tracker.FlowTracker:
+        """Flows and targets as the host observes them."""
+        component = self.node.datagram_handler.__self__
+        return component.tracker
+
     def is_ready(self) -> bool:
         """Returns whether the host reports that it is ready for packets."""
         result = self.handle(
