--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -26,6 +26,19 @@
 """Time after which a request without a reply no longer counts as work of its
 target, in seconds. Its caller has given up without closing the flow."""
 
+MIN_MOVED_S = 0.5
+"""Shortest time after which a request without a reply may count as moved to
+another host, in seconds."""
+
+MOVED_REPLY_TIMES = 4.0
+"""Usual reply times of a target after which a request without a reply counts as
+moved to another host, if the target has replied to others since. The fabric
+moves nearly all flows when an entry host joins or leaves, and the reply is then
+acknowledged through another host."""
+
+REPLY_TIME_WEIGHT = 1 / 16
+"""Weight of the newest reply in the usual reply time of a target."""
+
 CLOSED_RETENTION_S = 3.0
 """Time for which a closed flow is remembered, in seconds. Acknowledgements that
 its caller sends after the last packet don't count as a flow that was opened
@@ -72,6 +85,7 @@
         flows: Flows that are open, or being opened, through this host.
         opening: Those of them that the target has not accepted yet.
         pending: Those of them whose last request has no reply.
+        reply_s: Usual time from a request to its reply, in seconds.
         last_opening: Number of the last opening packet that it was sent.
     """
 
@@ -80,6 +94,7 @@
     flows: int = 0
     opening: int = 0
     pending: int = 0
+    reply_s: float = 0.0
     last_opening: int = 0
 
     @property
@@ -94,6 +109,23 @@
         self.liveness.observe_retransmission(now_s, key)
         self.domain_liveness.observe_retransmission(now_s, key)
 
+    def observe_reply_time(self, reply_s: float) -> None:
+        """Records the time from a request to its reply, in seconds."""
+        weight = REPLY_TIME_WEIGHT if self.reply_s else 1.0
+        self.reply_s += weight * (reply_s - self.reply_s)
+
+    def has_moved(self, now_s: float, since_s: float) -> bool:
+        """Returns whether the reply to a request went through another host.
+
+        Args:
+            now_s: Monotonic time in seconds.
+            since_s: Time of the request, in seconds.
+        """
+        usual_s = max(MIN_MOVED_S, MOVED_REPLY_TIMES * self.reply_s)
+        return now_s - since_s > usual_s and (
+            self.liveness.last_reply_s > since_s
+        )
+
     def observe_reply(self, now_s: float) -> None:
         """Records that the target replied."""
         self.liveness.observe_reply(now_s)
@@ -276,7 +308,9 @@
             self.observe_reply(now_s, target)
         elif packet.acknowledged != flow.acknowledged:
             self.observe_reply(now_s, target)
-            self._clear_pending(key, flow, activity)
+            if flow.pending_since_s is not None:
+                activity.observe_reply_time(now_s - flow.pending_since_s)
+                self._clear_pending(key, flow, activity)
         flow.acknowledged = packet.acknowledged
         is_retransmission = bool(
             packet.payload_bytes
@@ -375,18 +409,15 @@
 
         These are flows without a packet for `idle_s` seconds, and flows that no
         target has accepted for `OPENING_TIMEOUT_S`. Requests without a reply
-        for `REQUEST_TIMEOUT_S` no longer count as work.
+        for `REQUEST_TIMEOUT_S`, or whose reply went through another host, no
+        longer count as work.
         """
         for key in self._older_than(self.flows, now_s - idle_s):
             self.remove_flow(key)
         for key in self._older_than(self.opening, now_s - OPENING_TIMEOUT_S):
             self.remove_flow(key)
         for key in list(self.pending):
-            flow = self.flows[key]
-            since_s = flow.pending_since_s
-            if since_s is None or now_s - since_s <= REQUEST_TIMEOUT_S:
-                break
-            self._clear_pending(key, flow, self.activity_of(flow.target))
+            self._expire_request(now_s, key)
         forgettable = itertools.takewhile(
             lambda item: now_s - item[1] > CLOSED_RETENTION_S,
             self.closed.items(),
@@ -394,6 +425,19 @@
         for key, _ in list(forgettable):
             del self.closed[key]
 
+    def _expire_request(self, now_s: float, key: flow_packets.FlowKey) -> None:
+        """Clears a pending request that has ended without a reply here."""
+        flow = self.flows[key]
+        activity = self.activity_of(flow.target)
+        since_s = flow.pending_since_s
+        assert since_s is not None
+        if now_s - since_s > REQUEST_TIMEOUT_S or activity.has_moved(
+            now_s, since_s
+        ):
+            self._clear_pending(key, flow, activity)
+            if flow.is_closing:
+                self._close(now_s, key)
+
     def _older_than(
         self, keys: Iterable[flow_packets.FlowKey], before_s: float
     ) -> list[flow_packets.FlowKey]:
--- a/tests/cover/test_flow_accounting.py
+++ b/tests/cover/test_flow_accounting.py
@@ -151,6 +151,30 @@
         host.tick(flow_tracker.REQUEST_TIMEOUT_S + 0.5)
         self.assertEqual((1, 0), work_of(host, "t-1"))
 
+    def test_a_request_that_moved_to_another_host_stops_to_count(self):
+        # After the loss of all hosts they become ready one after another, and
+        # the fabric moves nearly all flows each time. 45 requests of a host
+        # were answered through others and counted for 10 s: their targets got
+        # 20 flows in 2 s, another one 130.
+        host = start("t-1", "t-2")
+        for number in range(10):
+            host.send(number, "t-1")
+            host.send(number, "t-1", payload_bytes=10)
+        host.tick(0.1)
+        request(host, 20, "t-1")
+        self.assertEqual((11, 10), work_of(host, "t-1"))
+        host.tick(flow_tracker.MIN_MOVED_S + 0.4)
+        self.assertEqual((11, 0), work_of(host, "t-1"))
+
+    def test_requests_at_a_target_that_does_not_reply_count_on(self):
+        # It is slow or dead, and must not look idle.
+        host = start("t-1", "t-2")
+        host.open(1)
+        host.send(1, "t-1")
+        host.send(1, "t-1", payload_bytes=10)
+        host.tick(flow_tracker.MIN_MOVED_S + 2.0)
+        self.assertEqual((1, 1), work_of(host, "t-1"))
+
     def test_ports_used_again_count_as_a_new_flow(self):
         host = start("t-1")
         host.open(1)
