--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -131,6 +131,10 @@
         self.liveness.observe_reply(now_s)
         self.domain_liveness.observe_reply(now_s)
 
+    def has_replied(self, now_s: float, within_s: float) -> bool:
+        """Returns whether the target replied within some seconds."""
+        return now_s - self.liveness.last_reply_s <= within_s
+
     def is_avoided(self, now_s: float) -> bool:
         """Returns whether the target or its failure domain is avoided."""
         return self.liveness.is_avoided(
--- a/packages/core/src/tamarack_core/internal/cookie/target_choice.py
+++ b/packages/core/src/tamarack_core/internal/cookie/target_choice.py
@@ -14,6 +14,10 @@
 from tamarack_core.internal.cookie import target_probes
 from tamarack_core.internal.cookie import target_table
 
+RECENT_REPLY_S = 2.0
+"""Time for which a reply outweighs overdue announcements, in seconds. The
+control host that receives the announcements may be cut off from the others."""
+
 COLD_FACTOR = 1.6
 """Factor by which the load of a cold target is multiplied. Targets that have
 just started take that much longer for their work."""
@@ -31,8 +35,8 @@
 
     Targets that were found dead by probes are excluded; if none remains, the
     flow is to be refused at once. Targets that did not reply to this opening
-    packet are the last choice, overdue targets the next to last, and then
-    targets that are suspect, alone or with their failure domain. A suspect
+    packet are the last choice, overdue targets that have not replied to this
+    host lately the next to last, and then targets that are suspect, alone or with their failure domain. A suspect
     target still gets one new flow per second as a trial. If all are suspect,
     the cause may be close to this host, and all are used. Of the best targets,
     the one with the least load through this host is chosen. Targets of equal
@@ -51,7 +55,12 @@
     if not alive:
         return None
     untried = [entry for entry in alive if entry.target.name not in tried]
-    announced = [entry for entry in untried if not entry.is_overdue]
+    announced = [
+        entry
+        for entry in untried
+        if not entry.is_overdue
+        or tracker.activity_of(entry).has_replied(now_s, RECENT_REPLY_S)
+    ]
     usable = announced or untried or alive
     responsive = [
         entry
--- a/tests/cover/test_flow_accounting.py
+++ b/tests/cover/test_flow_accounting.py
@@ -7,7 +7,9 @@
 import testtools
 from testtools import matchers
 
+from tamarack_core import target_announcement
 from tamarack_core.internal.cookie import flow_tracker
+from tamarack_core.internal.cookie import target_choice
 from tests import cookie_host
 
 TARGETS = ("t-1", "t-2", "t-3")
@@ -100,6 +102,52 @@
         self.assertEqual("t-1", host.open(50))
 
 
+class OverdueTest(testtools.TestCase):
+    """Load: targets at 75% while a control host is cut off from the others.
+
+    The announcements of a third of the targets go to that control host, so
+    that the others hold them to be overdue.
+    """
+
+    def start_overdue(self):
+        """Returns a host that knows two of its three targets as overdue."""
+        host = start(*TARGETS)
+        overdue = [
+            target_announcement.KnownTarget(
+                cookie_host.target(name, port=80 + number), True
+            )
+            for number, name in enumerate(TARGETS)
+            if name != "t-3"
+        ]
+        host.update(*overdue, base=1, position=2)
+        return host
+
+    def test_overdue_targets_that_reply_keep_their_share(self):
+        # Four of seven targets got all openings for 3 s: half of the requests
+        # took over 0.22 s.
+        host = self.start_overdue()
+        placed = collections.Counter()
+        for number, name in enumerate(TARGETS):
+            request(host, number, name)
+        for number in range(10, 40):
+            name = host.open(number)
+            placed[name] += 1
+            request(host, number, name)
+            close(host, number, name)
+            host.tick(0.1)
+        self.assertEqual(dict.fromkeys(TARGETS, 10), dict(placed))
+
+    def test_overdue_targets_without_a_reply_get_no_openings(self):
+        host = self.start_overdue()
+        self.assertEqual({"t-3"}, {host.open(n) for n in range(10, 20)})
+
+    def test_an_old_reply_does_not_outweigh_overdue_announcements(self):
+        host = self.start_overdue()
+        request(host, 1, "t-1")
+        host.tick(target_choice.RECENT_REPLY_S + 0.5)
+        self.assertEqual({"t-3"}, {host.open(n) for n in range(10, 20)})
+
+
 class CountTest(testtools.TestCase):
     """Each way in which a flow begins, ends or moves."""
 
