--- a/packages/node/src/tamarack_node/internal/disk_writer.py
+++ b/packages/node/src/tamarack_node/internal/disk_writer.py
@@ -22,9 +22,9 @@
     """Executes writes in order on its own thread.
 
     A write that fails because the disk is full is retried until it succeeds;
-    meanwhile no write is acknowledged. Saving the targets is not retried
-    when the disk is full, as a host can start without them. After any other
-    error it is unknown which data reached the disk, and the process ends.
+    meanwhile no write is acknowledged. Only saving the targets is postponed
+    then, as no other write depends on it. After any other error it is unknown
+    which data reached the disk, and the process ends.
 
     Attributes:
         folder: The data folder.
@@ -33,13 +33,21 @@
         failed: Called on the loop with the error that ends the process.
     """
 
-    __slots__ = ("_loop", "_queue", "_thread", "completed", "failed", "folder")
+    __slots__ = (
+        "_loop",
+        "_postponed",
+        "_queue",
+        "_thread",
+        "completed",
+        "failed",
+        "folder",
+    )
 
     def __init__(
         self,
         folder: folders.DataFolder,
         completed: Callable[[int], None],
-        failed: Callable[[storage_errors.StorageError], None],
+        failed: Callable[[Exception], None],
     ) -> None:
         """Initializes the writer and starts its thread.
 
@@ -53,6 +61,7 @@
         self.completed = completed
         self.failed = failed
         self._loop = asyncio.get_running_loop()
+        self._postponed: effects.SaveTargets | None = None
         self._queue: queue.SimpleQueue[Write | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -70,15 +79,29 @@
         self._queue.put(None)
 
     def _run(self) -> None:
-        """Executes the queued writes until the writer is closed."""
-        while (effect := self._queue.get()) is not None:
-            try:
+        """Executes the queued writes until the writer is closed.
+
+        An unexpected error ends the process as well: without this thread it
+        would go on, and never acknowledge a write again.
+        """
+        try:
+            while (effect := self._next_write()) is not None:
                 self._write(effect)
-            except storage_errors.StorageError as error:
-                self._loop.call_soon_threadsafe(self.failed, error)
-                return
-            if not isinstance(effect, effects.SaveTargets):
-                self._loop.call_soon_threadsafe(self.completed, effect.sequence)
+                if not isinstance(effect, effects.SaveTargets):
+                    self._loop.call_soon_threadsafe(
+                        self.completed, effect.sequence
+                    )
+        except Exception as error:
+            self._loop.call_soon_threadsafe(self.failed, error)
+
+    def _next_write(self) -> Write | None:
+        """Returns the next queued write, or a postponed one that is due."""
+        if self._postponed is None:
+            return self._queue.get()
+        try:
+            return self._queue.get(timeout=RETRY_S)
+        except queue.Empty:
+            return self._postponed
 
     def _write(self, effect: Write) -> None:
         """Executes one write; retries it while the disk is full."""
@@ -88,17 +111,25 @@
                 if isinstance(effect, effects.Persist):
                     self.folder.append(effect.records)
                 elif isinstance(effect, effects.SaveTargets):
-                    self.folder.save_targets(effect.data)
+                    self._save_targets(effect)
                 else:
                     self.folder.save_snapshot(effect.data, effect.records)
                 return
             except storage_errors.StorageError as error:
                 if error.reason != storage_errors.FULL:
                     raise
-                if isinstance(effect, effects.SaveTargets):
-                    return
                 if not is_reported:
                     is_reported = True
                     fields = {"reason": error.reason, "detail": str(error)}
                     logs.event("write-postponed", logging.WARNING, fields)
             time.sleep(RETRY_S)
+
+    def _save_targets(self, effect: effects.SaveTargets) -> None:
+        """Saves the targets, or postpones it while the disk is full."""
+        self._postponed = None
+        try:
+            self.folder.save_targets(effect.data)
+        except storage_errors.StorageError as error:
+            if error.reason != storage_errors.FULL:
+                raise
+            self._postponed = effect
--- a/packages/node/src/tamarack_node/internal/storage/folder.py
+++ b/packages/node/src/tamarack_node/internal/storage/folder.py
@@ -31,9 +31,9 @@
 
     Every method that writes returns only once the data is synced. After a
     write that failed because the disk is full, the data synced before remains
-    and the write may be retried. After any other error the folder rejects
-    further writes, because it is unknown which data reached the disk; the
-    process has to stop.
+    and the write may be retried; what is left of it is removed as soon as the
+    disk accepts that. After any other error the folder rejects further writes,
+    because it is unknown which data reached the disk; the process has to stop.
 
     Attributes:
         path: The folder.
@@ -46,7 +46,9 @@
         "_files",
         "_generation",
         "_has_failed",
+        "_has_partial_write",
         "_lock",
+        "_replaced",
         "_size",
         "contents",
         "identity",
@@ -77,6 +79,10 @@
         self.path = path
         self._files = files or files_lib.SystemFiles()
         self._has_failed = False
+        # Whether bytes of a failed write may follow the valid end of the log.
+        self._has_partial_write = False
+        # Log files of earlier generations that are not removed yet.
+        self._replaced: list[pathlib.Path] = []
         self._descriptor = -1
         self._lock = self._acquire_lock()
         try:
@@ -100,10 +106,12 @@
             frames.Kind.RECORD, records, self._generation, self._size
         )
         self._check_writable()
+        self._try_remove_replaced()
         try:
-            self._files.append(self._descriptor, batch)
+            self._truncate_partial_write()
+            self._append(batch)
         except OSError as error:
-            raise self._recover_append(error) from error
+            raise self._write_error(error) from error
         try:
             self._files.sync(self._descriptor)
         except OSError as error:
@@ -125,12 +133,13 @@
             self._create_log(self._generation + 1, data, records)
         except OSError as error:
             raise self._recover_creation(error) from error
+        self._has_partial_write = False
+        self._replaced.append(old)
         try:
             self._files.close(previous)
-            self._files.remove(old)
-            self._files.sync_folder(self.path)
         except OSError as error:
             raise self._disk_error(error) from error
+        self._try_remove_replaced()
 
     def save_targets(self, data: bytes) -> None:
         """Replaces the file of announced targets.
@@ -163,30 +172,58 @@
             self._files.close(self._descriptor)
             self._descriptor = -1
 
-    def _recover_append(self, error: OSError) -> errors.StorageError:
-        """Returns the error of an append, after removing a partial write."""
+    def _append(self, data: bytes) -> None:
+        """Appends data to the log file; it may be written in part."""
+        self._has_partial_write = True
+        self._files.append(self._descriptor, data)
+        self._has_partial_write = False
+
+    def _truncate_partial_write(self) -> None:
+        """Removes the bytes that a failed write left behind."""
+        if self._has_partial_write:
+            self._files.truncate(self._descriptor, self._size)
+            self._has_partial_write = False
+
+    def _write_error(self, error: OSError) -> errors.StorageError:
+        """Returns the error of a write; it may be retried if the disk is full.
+
+        A full disk may refuse to truncate the log file as well, so a partial
+        write is removed before the next one.
+        """
         if error.errno not in _FULL:
             return self._disk_error(error)
-        try:
-            self._files.truncate(self._descriptor, self._size)
-        except OSError as cleanup_error:
-            return self._disk_error(cleanup_error)
         return self._storage_error(errors.FULL, error)
 
     def _recover_creation(self, error: OSError) -> errors.StorageError:
         """Returns the error of a failed file creation, after cleaning up.
 
         The file in use is unchanged, as a new file gets its final name only
-        once it is synced. Only the temporary file has to be removed.
+        once it is synced. A temporary file that can't be removed now is
+        overwritten by the next attempt.
         """
         if error.errno not in _FULL:
             return self._disk_error(error)
         try:
             self._remove_temporary()
         except OSError as cleanup_error:
-            return self._disk_error(cleanup_error)
+            return self._write_error(cleanup_error)
         return self._storage_error(errors.FULL, error)
 
+    def _try_remove_replaced(self) -> None:
+        """Removes the log files of earlier generations, if the disk does it.
+
+        The newest log file is durable already. One that remains is removed
+        before the next write, or by the next start.
+        """
+        try:
+            while self._replaced:
+                self._files.remove(self._replaced[-1])
+                self._replaced.pop()
+                self._files.sync_folder(self.path)
+        except OSError as error:
+            if error.errno not in _FULL:
+                raise self._disk_error(error) from error
+
     def _try_mark_synced(self) -> None:
         """Appends a SYNCED frame, and omits it if the disk is full."""
         try:
@@ -194,12 +231,11 @@
         except OSError as error:
             if error.errno not in _FULL:
                 raise self._disk_error(error) from error
-            self._files.truncate(self._descriptor, self._size)
 
     def _mark_synced(self) -> None:
         """Appends the frame that marks the log file up to here as synced."""
         mark = frames.encode_synced(self._generation, self._size)
-        self._files.append(self._descriptor, mark)
+        self._append(mark)
         self._size += len(mark)
 
     def _check_writable(self) -> None:
--- a/tests/cover/test_control_group.py
+++ b/tests/cover/test_control_group.py
@@ -1,5 +1,7 @@
 """Control hosts bootstrap, repair and replace the voters of their group."""
 
+import itertools
+
 import testtools
 
 from tamarack_core import external_requests
@@ -16,6 +18,10 @@
     return network
 
 
+ACK_TIMEOUT_S = 5.0
+"""Time in which a change has to be acknowledged, in seconds."""
+
+
 class BootstrapTest(testtools.TestCase):
     """Bootstrap of the group at the first start of its hosts."""
 
@@ -278,6 +284,62 @@
             self.assertEqual(tuple(kept), network.read().routes)
 
 
+class FullDiskTest(testtools.TestCase):
+    """Load: four changes a second while disks are full one after another."""
+
+    def publish_for(self, network, seconds, numbers):
+        """Publishes documents; each has to be acknowledged within 5 s."""
+        end_s = network.now_s + seconds
+        while network.now_s < end_s:
+            network.publish(next(numbers), timeout_s=ACK_TIMEOUT_S)
+            network.run(0.2)
+
+    def check(self, count, tolerated, choose):
+        """Fills one disk after another, and checks that changes go on.
+
+        Args:
+            count: Number of control hosts.
+            tolerated: Number of hosts that may be lost at once.
+            choose: Returns the host whose disk is full next, given the network
+                and the number of the round.
+        """
+        network = group_network.GroupNetwork(count, tolerated)
+        network.start_all()
+        numbers = itertools.count(1)
+        self.publish_for(network, 2.0, numbers)
+        for turn in range(2 * count):
+            host = choose(network, turn)
+            network.fill_disk(host)
+            self.publish_for(network, 3.0 + turn % 3, numbers)
+            network.free_disk(host)
+            network.run(0.1)
+        self.publish_for(network, 5.0, numbers)
+        newest = next(numbers) - 1
+        network.run(1.0)
+        for host in network.peers:
+            control = network.component_of(
+                host, external_requests.PublishDocument
+            )
+            self.assertEqual(newest, control.machine.document.number)
+            self.assertEqual(0, len(control.publish_requests.pending))
+
+    def test_changes_go_on_while_the_disk_of_each_host_is_full_in_turn(self):
+        for count, tolerated in ((3, 1), (5, 2), (6, 2)):
+            self.check(
+                count,
+                tolerated,
+                lambda network, turn: sorted(network.peers)[
+                    turn % len(network.peers)
+                ],
+            )
+
+    def test_changes_go_on_while_the_disk_of_the_leader_is_full(self):
+        for count, tolerated in ((3, 1), (5, 2), (6, 2)):
+            self.check(
+                count, tolerated, lambda network, _: min(network.leaders())
+            )
+
+
 class AnnouncementTest(testtools.TestCase):
     """Targets announce themselves to any control host."""
 
--- a/tests/group_network.py
+++ b/tests/group_network.py
@@ -78,6 +78,7 @@
         seeds: The seeds.
         tolerated: Number of hosts that may be lost at once.
         seeds_of: Seeds of the hosts that were added later, by host.
+        delayed_writes: Writes that wait for room, by host with a full disk.
     """
 
     def __init__(self, count, tolerated=1, seed=1):
@@ -88,6 +89,7 @@
         self.seed = seed
         self.seeds = [seed_of(peer(n)) for n in (1, 2, 3)]
         self.seeds_of = {}
+        self.delayed_writes = {}
         self.sent = {}
         self.incarnation_numbers = itertools.count(1)
 
@@ -148,7 +150,13 @@
                 super()._carry_out(host, node, effect)
 
     def _sync(self, host, start_number, write):
-        """Stores a write and reports its completion after the sync time."""
+        """Stores a write and reports its completion after the sync time.
+
+        A host with a full disk retries its writes until there is room.
+        """
+        if host in self.delayed_writes:
+            self.delayed_writes[host].append((start_number, write))
+            return
 
         def finish(now_s):
             sequence, data, records = write
@@ -200,6 +208,15 @@
         if lose_disk:
             self.disks.pop(host, None)
 
+    def fill_disk(self, host):
+        """Lets no write of a host complete until its disk has room again."""
+        self.delayed_writes[host] = []
+
+    def free_disk(self, host):
+        """Completes the delayed writes of a host."""
+        for start_number, write in self.delayed_writes.pop(host):
+            self._sync(host, start_number, write)
+
     def isolate(self, host):
         """Cuts a host off from all others."""
         for other in self.peers:
