--- a/packages/node/src/tamarack_node/internal/driver.py
+++ b/packages/node/src/tamarack_node/internal/driver.py
@@ -22,6 +22,7 @@
 from tamarack_core import timeline
 from tamarack_core.storage import disk as disks
 from tamarack_node import settings as settings_lib
+from tamarack_node import start_signals
 from tamarack_node.internal import aiohttp_sender
 from tamarack_node.internal import http_server
 from tamarack_node.internal import logs
@@ -171,10 +172,10 @@
         self.transport.open(control)
         await self._server.open(control.address, control.port)
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.request_stop)
-        loop.add_signal_handler(signal.SIGINT, self.request_stop)
-        if self._signer is not None:
-            loop.add_signal_handler(signal.SIGHUP, self._signer.reload)
+        start_signals.handle(
+            loop, (signal.SIGTERM, signal.SIGINT), self.request_stop
+        )
+        start_signals.handle(loop, (signal.SIGHUP,), self._reload_keys)
         data = self.settings.data_listen or self.settings.data
         if data is not None:
             self._data_socket = transport.bind_udp(data)
@@ -187,6 +188,11 @@
             fabric = self.settings.fabric
             self._fabric = (fabric.address, fabric.port)
 
+    def _reload_keys(self) -> None:
+        """Loads the key file again, if the settings name one."""
+        if self._signer is not None:
+            self._signer.reload()
+
     async def _close(self) -> None:
         """Cancels the timers and closes all sockets and the data folder."""
         self._timers.stop()
--- a/packages/node/src/tamarack_node/light_driver.py
+++ b/packages/node/src/tamarack_node/light_driver.py
@@ -28,6 +28,7 @@
 from tamarack_core import peers
 from tamarack_core import reducer
 from tamarack_core import timeline
+from tamarack_node import start_signals
 from tamarack_node.internal import http1
 from tamarack_node.internal import light_sender
 from tamarack_node.internal import log_stream
@@ -229,8 +230,9 @@
     async def _open(self) -> None:
         """Opens all sockets, the one for packets first."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._request_stop)
-        loop.add_signal_handler(signal.SIGINT, self._request_stop)
+        start_signals.handle(
+            loop, (signal.SIGTERM, signal.SIGINT), self._request_stop
+        )
         data = self.addresses.data
         if data is not None:
             self._data_socket = transport.bind_udp(data)
--- a/packages/node/src/tamarack_node/main.py
+++ b/packages/node/src/tamarack_node/main.py
@@ -9,6 +9,7 @@
 import click
 
 from tamarack_node import settings as settings_lib
+from tamarack_node import start_signals
 from tamarack_node.internal import driver
 from tamarack_node.internal import logs
 
@@ -33,6 +34,7 @@
     Example: tamarackd --settings entry-a-1.json
     """
     if context.invoked_subcommand is not None:
+        start_signals.restore_defaults()
         return
     if settings_file is None:
         raise click.UsageError("name a settings file with --settings FILE")
--- a/tests/soak/host_program.py
+++ b/tests/soak/host_program.py
@@ -5,17 +5,24 @@
 clock, fill its disk and slow down its disk.
 """
 
-import errno
-import importlib
-import json
-import os
-import pathlib
-import sys
-import time
-import typing
-
-from tamarack_core import peers
-from tamarack_node import light_driver
+import signal
+
+# As in the programs themselves: signals wait until there is a handler.
+signal.pthread_sigmask(
+    signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+)
+
+import errno  # noqa: E402
+import importlib  # noqa: E402
+import json  # noqa: E402
+import os  # noqa: E402
+import pathlib  # noqa: E402
+import sys  # noqa: E402
+import time  # noqa: E402
+import typing  # noqa: E402
+
+from tamarack_core import peers  # noqa: E402
+from tamarack_node import light_driver  # noqa: E402
 
 CLOCK, FULL, SLOW = "clock-offset", "disk-full", "disk-slow"
 STANDARD_ERROR = 2
