--- a/packages/core/src/tamarack_core/internal/consensus/replication.py
+++ b/packages/core/src/tamarack_core/internal/consensus/replication.py
@@ -310,6 +310,24 @@
     return state.log.term_at(state.commit_index) == state.term
 
 
+def is_confirmed(state: states.State, now_s: float) -> bool:
+    """Returns whether this replica learns of each entry that is committed.
+
+    A leader needs recent responses of a quorum, another replica a recent
+    message of the leader. Either must have applied the first entry of the
+    term, so that it lacks no entry of earlier terms.
+    """
+    if not has_committed_in_term(state):
+        return False
+    if state.is_leader:
+        return has_active_quorum(state, state.latest_membership, now_s)
+    since_message_s = now_s - state.leader_seen_s
+    return (
+        state.leader is not None
+        and since_message_s < state.parameters.election_timeout_min_s
+    )
+
+
 def start_read_round(state: states.State) -> None:
     """Starts a heartbeat round for the waiting reads if none is running."""
     queue = state.reads
--- a/packages/core/src/tamarack_core/internal/cookie/subscription.py
+++ b/packages/core/src/tamarack_core/internal/cookie/subscription.py
@@ -5,6 +5,11 @@
 does not respond, the host sends requests to others. A host that has just
 started sends requests to all known control hosts, one at a time, since each
 may respond with a whole document.
+
+A control host that is cut off from the others learns of no new document. While
+the publisher says so, the host queries others for newer documents, and follows
+the first that is in contact with a quorum. If there is none, it goes on with
+what it holds.
 """
 
 from tamarack_core import context as context_lib
@@ -38,6 +43,10 @@
 """Interval of requests to local control hosts while the publisher is in another
 failure domain, in seconds."""
 
+QUERIES = 2
+"""Control hosts queried at once while the publisher is not confirmed. One of
+them may be cut off as well."""
+
 _ROTATION_RANGE = 1 << 16
 
 
@@ -54,6 +63,8 @@
         run: Run of the publisher.
         position: Last change of that run that is held.
         is_settled: Whether a settled control host has sent all its targets.
+        is_confirmed: Whether the publisher is in contact with a quorum of the
+            control hosts, as far as it has said.
         requested_s: Time of the last request, in seconds.
         updated_s: Time of the last update, in seconds.
         ticked_s: Time of the last run of the timer, in seconds.
@@ -66,6 +77,7 @@
     __slots__ = (
         "context",
         "controls",
+        "is_confirmed",
         "is_settled",
         "local_requested_s",
         "position",
@@ -105,6 +117,7 @@
         self.run = ""
         self.position = 0
         self.is_settled = False
+        self.is_confirmed = True
         self.requested_s = float("-inf")
         self.updated_s = float("-inf")
         self.ticked_s = float("inf")
@@ -123,6 +136,7 @@
             events.SeedsChanged: self.handle_seeds,
             TIMER: self.handle_timer,
             sync.SyncUpdate: self.handle_update,
+            sync.DocumentAnswer: self.handle_answer,
         }
 
     def handle_seeds(self, event: events.SeedsChanged) -> list[effects.Effect]:
@@ -163,9 +177,51 @@
             return self._replace_publisher(now_s)
         if now_s - self.requested_s >= REQUEST_INTERVAL_S and self.publisher:
             self.requested_s = now_s
-            return [self._request(self.publisher), *self._request_local(now_s)]
+            return [
+                self._request(self.publisher),
+                *self._request_local(now_s),
+                *self._query_others(),
+            ]
         return []
 
+    def _query_others(self) -> list[effects.Effect]:
+        """Queries other control hosts while the publisher isn't confirmed."""
+        if self.is_confirmed:
+            return []
+        others = [
+            peer
+            for peer in self._control_hosts()
+            if self.publisher is None or peer.control != self.publisher.control
+        ]
+        chosen = self.context.random.sample(others, min(QUERIES, len(others)))
+        query = sync.DocumentQuery(self.routes.number)
+        return [effects.SendMessage(peer, query) for peer in chosen]
+
+    def handle_answer(
+        self, event: events.MessageArrived
+    ) -> list[effects.Effect]:
+        """Applies a document, and follows a sender that is confirmed."""
+        answer = event.message
+        assert isinstance(answer, sync.DocumentAnswer)
+        result: list[effects.Effect] = []
+        if answer.document is not None and self.routes.put(answer.document):
+            result.append(self._record_document(event.now_s))
+        if answer.is_confirmed and not self.is_confirmed:
+            self.publisher = event.sender
+            self.is_confirmed = True
+            self.requested_s = event.now_s
+            result += [
+                self.context.record(
+                    event.now_s,
+                    "control-host-replaced",
+                    reason="no-quorum",
+                    detail=event.sender.host,
+                    version=self.routes.number,
+                ),
+                self._request(event.sender),
+            ]
+        return result
+
     def _request_next(self) -> list[effects.Effect]:
         """Requests updates from the next control host; the first is random."""
         known = self._control_hosts()
@@ -240,7 +296,13 @@
         self.updated_s = event.now_s
         if update.controls:
             self.controls = update.controls
+        was_confirmed, self.is_confirmed = (
+            self.is_confirmed,
+            update.is_confirmed,
+        )
         result = self._apply_document(event.now_s, update)
+        if was_confirmed and self.has_document:
+            result += self._query_others()
         if not self.has_document:
             # The publisher has no document yet; another control host may.
             result += self._request_next()
@@ -262,7 +324,8 @@
             sender.domain == local_domain
             and self.publisher.domain != local_domain
         )
-        if self.publisher is None or is_closer:
+        is_better = update.is_confirmed and (is_closer or not self.is_confirmed)
+        if self.publisher is None or is_better:
             self.publisher = sender
             return True
         return False
@@ -273,11 +336,13 @@
         """Applies the routes of an update if they are newer."""
         if update.document is None or not self.routes.put(update.document):
             return []
-        return [
-            self.context.record(
-                now_s, "version-in-force", version=self.routes.number
-            )
-        ]
+        return [self._record_document(now_s)]
+
+    def _record_document(self, now_s: float) -> effects.Effect:
+        """Returns the time line entry of a newer document."""
+        return self.context.record(
+            now_s, "version-in-force", version=self.routes.number
+        )
 
     def _apply_targets(
         self, now_s: float, update: sync.SyncUpdate
--- a/packages/core/src/tamarack_core/internal/cookie/target_choice.py
+++ b/packages/core/src/tamarack_core/internal/cookie/target_choice.py
@@ -36,8 +36,9 @@
     Targets that were found dead by probes are excluded; if none remains, the
     flow is to be refused at once. Targets that did not reply to this opening
     packet are the last choice, overdue targets that have not replied to this
-    host lately the next to last, and then targets that are suspect, alone or with their failure domain. A suspect
-    target still gets one new flow per second as a trial. If all are suspect,
+    host lately the next to last, and then targets that are suspect, alone or
+    with their failure domain. A suspect target still gets one new flow per
+    second as a trial. If all are suspect,
     the cause may be close to this host, and all are used. Of the best targets,
     the one with the least load through this host is chosen. Targets of equal
     load take turns: a host that is one of many rarely has two requests in
--- a/packages/core/src/tamarack_core/internal/group/document_replication.py
+++ b/packages/core/src/tamarack_core/internal/group/document_replication.py
@@ -17,6 +17,7 @@
 from tamarack_core.internal.consensus import membership
 from tamarack_core.internal.consensus import outputs
 from tamarack_core.internal.consensus import replica as replicas
+from tamarack_core.internal.consensus import replication
 from tamarack_core.internal.documents import state_machine as machines
 from tamarack_core.internal.group import host_directory
 from tamarack_core.internal.group import membership_policy
@@ -239,11 +240,14 @@
     ) -> list[effects.Effect]:
         """Runs the maintenance.
 
-        It retries publish requests and responds to them, announces this host to
-        the other control hosts and, at the leader, repairs the membership.
+        It retries publish requests and responds to them, tells subscribers
+        whether there is contact with a quorum, announces this host to the
+        other control hosts and, at the leader, repairs the membership.
         """
         now_s = event.now_s
         result: list[effects.Effect] = [effects.StartTimer(TIMER, TICK_S)]
+        is_confirmed = replication.is_confirmed(self.replica.state, now_s)
+        result += self.publisher.set_confirmed(now_s, is_confirmed)
         for step in self.publish_requests.retry(now_s):
             result += self._collect_effects(now_s, step)
         result += self.publish_requests.respond_to_pending(now_s)
--- a/packages/core/src/tamarack_core/internal/registry/publisher.py
+++ b/packages/core/src/tamarack_core/internal/registry/publisher.py
@@ -42,6 +42,7 @@
         is_control: Whether it is a control host.
         requested_s: Time of its last request, in seconds.
         controls: Control hosts that it was sent.
+        is_confirmed: Whether it was told that this host is confirmed.
     """
 
     peer: peers.Peer
@@ -50,6 +51,7 @@
     is_control: bool
     requested_s: float
     controls: tuple[peers.Peer, ...] = ()
+    is_confirmed: bool = False
 
 
 class Publisher:
@@ -65,11 +67,14 @@
         started_s: Time of the start, in seconds.
         pushed_s: Time of the last push, in seconds.
         is_push_due: Whether the timer of a delayed push is running.
+        is_confirmed: Whether this host is in contact with a quorum of the
+            control hosts.
     """
 
     __slots__ = (
         "context",
         "controls",
+        "is_confirmed",
         "is_push_due",
         "pushed_s",
         "registry",
@@ -100,12 +105,14 @@
         self.started_s = float("inf")
         self.pushed_s = float("-inf")
         self.is_push_due = False
+        self.is_confirmed = False
 
     def handlers(self) -> dict[reducer.Key, reducer.Handler]:
         """Returns the event handlers by key."""
         return {
             events.Started: self.handle_started,
             sync.SyncRequest: self.handle_request,
+            sync.DocumentQuery: self.handle_query,
             TIMER: self.handle_timer,
         }
 
@@ -146,6 +153,17 @@
             )
         return result
 
+    def handle_query(
+        self, event: events.MessageArrived
+    ) -> list[effects.Effect]:
+        """Sends the document that the sender lacks, without subscribing it."""
+        query = event.message
+        assert isinstance(query, sync.DocumentQuery)
+        answer = sync.DocumentAnswer(
+            self.is_confirmed, self.routes.changes_since(query.number)
+        )
+        return [effects.SendMessage(event.sender, answer)]
+
     def publish_documents(
         self, now_s: float, machine: machines.DocumentStateMachine
     ) -> list[effects.Effect]:
@@ -170,6 +188,23 @@
         self.controls = controls
         return self.push(now_s)
 
+    def set_confirmed(
+        self, now_s: float, is_confirmed: bool
+    ) -> list[effects.Effect]:
+        """Sets whether this host is in contact with a quorum.
+
+        A change is pushed, so that entry hosts follow another control host
+        while this one learns of no new document.
+        """
+        if is_confirmed == self.is_confirmed:
+            return []
+        self.is_confirmed = is_confirmed
+        name = "quorum-regained" if is_confirmed else "quorum-lost"
+        record = self.context.record(
+            now_s, name, version=self.routes.document.number
+        )
+        return [record, *self.push(now_s)]
+
     def push(self, now_s: float) -> list[effects.Effect]:
         """Sends subscribers what they lack, now or when the timer fires.
 
@@ -219,6 +254,7 @@
         return (
             subscriber.number < self.routes.document.number
             or subscriber.controls != self.controls
+            or subscriber.is_confirmed != self.is_confirmed
         )
 
     def _update(self, now_s: float, subscriber: Subscriber) -> effects.Effect:
@@ -233,6 +269,7 @@
         subscriber.position = self.registry.position
         subscriber.number = max(subscriber.number, self.routes.document.number)
         subscriber.controls = self.controls
+        subscriber.is_confirmed = self.is_confirmed
         update = sync.SyncUpdate(
             run=self.run,
             base=base,
@@ -241,6 +278,7 @@
             targets=self.registry.changes_since(base),
             controls=() if knows_controls else self.controls,
             document=document,
+            is_confirmed=self.is_confirmed,
         )
         return effects.SendMessage(subscriber.peer, update)
 
--- a/packages/core/src/tamarack_core/sync.py
+++ b/packages/core/src/tamarack_core/sync.py
@@ -74,6 +74,8 @@
         targets: Targets that changed.
         controls: Control hosts that the sender knows; empty if unchanged.
         document: Changes of the document, if any.
+        is_confirmed: Whether the sender is in contact with a quorum of the
+            control hosts, so that it learns of each new document.
     """
 
     run: str
@@ -83,6 +85,30 @@
     targets: tuple[target_announcement.KnownTarget, ...] = ()
     controls: tuple[peers.Peer, ...] = ()
     document: DocumentUpdate | None = None
+    is_confirmed: bool = True
+
+
+class DocumentQuery(msgspec.Struct, frozen=True, tag="document-query"):
+    """Query of an entry host that follows another control host.
+
+    Attributes:
+        number: Number of the document that the sender holds.
+    """
+
+    number: int
+
+
+class DocumentAnswer(msgspec.Struct, frozen=True, tag="document-answer"):
+    """Answer to a `DocumentQuery`.
+
+    Attributes:
+        is_confirmed: Whether the sender is in contact with a quorum of the
+            control hosts.
+        document: Changes that the receiver lacks, if any.
+    """
+
+    is_confirmed: bool
+    document: DocumentUpdate | None = None
 
 
 class AnnouncementAges(msgspec.Struct, frozen=True, tag="heard"):
@@ -118,5 +144,11 @@
 
 
 Message = (
-    SyncRequest | SyncUpdate | AnnouncementAges | SuspectTargets | ControlHello
+    SyncRequest
+    | SyncUpdate
+    | DocumentQuery
+    | DocumentAnswer
+    | AnnouncementAges
+    | SuspectTargets
+    | ControlHello
 )
