--- a/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
+++ b/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
@@ -6,6 +6,7 @@
 hosts run their own probes.
 """
 
+import collections
 from collections.abc import Iterator
 
 from tamarack_core import effects
@@ -23,6 +24,11 @@
 time is newer."""
 
 
+MIN_DOWN_TARGETS = 4
+"""Dead targets from which on a failure domain may count as down. Fewer of them
+may have crashed independently, and probing each of them costs little."""
+
+
 class TargetFailureDetector:
     """Component that detects dead targets and resets their flows.
 
@@ -81,12 +87,41 @@
         self.check_suspension(event.now_s)
         if event.is_answered:
             return self._handle_reply(event.now_s, event.target)
-        return self.probes.handle_failure(
-            event.now_s, event.target, self._references()
+        failed = self.probes.handle_failure(event.target)
+        if failed is None:
+            return []
+        if self.probes.has_later_reply(failed):
+            return self._confirm_failure(event.now_s, failed)
+        return self.probes.probe_reference(
+            event.now_s, failed, self._references()
+        )
+
+    def probe_dead(self, now_s: float) -> list[effects.Effect]:
+        """Returns probes of dead targets, which may have recovered."""
+        self.probes.remove_gone()
+        if not self.probes.dead():
+            return []
+        return self.probes.probe_dead(now_s, self._down_domains())
+
+    def _down_domains(self) -> set[str]:
+        """Returns the failure domains in which most targets are dead."""
+        dead = collections.Counter(
+            probe.entry.target.domain for probe in self.probes.dead()
+        )
+        known = collections.Counter(
+            entry.target.domain
+            for entry in self.targets.by_name.values()
+            if not entry.is_gone
         )
+        return {
+            domain
+            for domain, count in dead.items()
+            if count >= MIN_DOWN_TARGETS and 2 * count > known[domain]
+        }
 
     def _handle_reply(self, now_s: float, name: str) -> list[effects.Effect]:
         """Handles a reply, and confirms the failures that waited for it."""
+        down_domains = self._down_domains() if self.probes.dead() else set()
         was_dead = self.probes.handle_success(name)
         entry = self.targets.by_name.get(name)
         result: list[effects.Effect] = []
@@ -96,10 +131,33 @@
                 result.append(
                     self._record_transition(now_s, entry, "target-alive")
                 )
+            if was_dead and entry.target.domain in down_domains:
+                result += self._revive_domain(now_s, entry.target.domain)
         for probe in self.probes.awaiting_reference(name):
             result += self._confirm_failure(now_s, probe)
         return result
 
+    def _revive_domain(self, now_s: float, domain: str) -> list[effects.Effect]:
+        """Marks the targets of a failure domain alive after one has replied.
+
+        The domain was cut off, so it isn't necessary that each host connects
+        to each of its targets. A target whose announcements are overdue
+        remains dead; it may have crashed.
+        """
+        result = []
+        for probe in self.probes.dead():
+            entry = self.targets.by_name.get(probe.entry.target.name)
+            if entry is None or entry.target.domain != domain:
+                continue
+            if not entry.is_overdue:
+                probe.is_dead = False
+                result.append(
+                    self._record_transition(
+                        now_s, entry, "target-alive", "domain-replied"
+                    )
+                )
+        return result
+
     def _confirm_failure(
         self, now_s: float, probe: target_probes.ProbeState
     ) -> list[effects.Effect]:
@@ -177,7 +235,11 @@
         ]
 
     def _record_transition(
-        self, now_s: float, entry: target_table.TargetEntry, name: str
+        self,
+        now_s: float,
+        entry: target_table.TargetEntry,
+        name: str,
+        reason: str = "probe",
     ) -> effects.Effect:
         """Returns the time line entry of a target found dead or alive."""
         return self.context.record(
@@ -185,7 +247,7 @@
             name,
             service=entry.target.service,
             target=entry.target.name,
-            reason="probe",
+            reason=reason,
             detail=f"last update {now_s - entry.updated_s:.1f} s ago",
         )
 
--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -113,7 +113,7 @@
             self.tracker.remove_targets(self.targets.by_name)
         result: list[effects.Effect] = [
             effects.StartTimer(TIMER, TICK_S),
-            *self.probes.probe_dead(now_s),
+            *self.detector.probe_dead(now_s),
         ]
         for entry in self.targets.by_name.values():
             if entry.is_overdue and self.tracker.activity_of(entry).flows:
--- a/packages/core/src/tamarack_core/internal/cookie/target_probes.py
+++ b/packages/core/src/tamarack_core/internal/cookie/target_probes.py
@@ -9,8 +9,14 @@
 later probe: if a large document fills the link of this host, or the host is
 cut off, no target replies. Progress of the flows of a target outweighs a
 failed probe.
+
+Each connection is work for a target, and there may be hundreds of entry hosts.
+While most targets of a failure domain are dead, as when it is cut off, only a
+few of them are probed for a recovery.
 """
 
+import collections
+from collections.abc import Container
 from collections.abc import Iterable
 
 import msgspec
@@ -36,6 +42,10 @@
 RECOVERY_INTERVAL_S = 0.5
 """Interval of the probes of a dead target, in seconds."""
 
+DOMAIN_PROBES = 2
+"""Dead targets probed in each interval in a failure domain that is down. One of
+them may have crashed as well."""
+
 
 class ProbeState(msgspec.Struct):
     """State of the probes of a target.
@@ -63,13 +73,16 @@
 
     Attributes:
         probes: State of the probes by name of the target.
+        replied_sent_s: Time at which the last probe with a reply was sent, in
+            seconds.
     """
 
-    __slots__ = ("probes",)
+    __slots__ = ("probes", "replied_sent_s")
 
     def __init__(self) -> None:
         """Initializes the probes without any target."""
         self.probes: dict[str, ProbeState] = {}
+        self.replied_sent_s = float("-inf")
 
     def is_dead(self, entry: target_table.TargetEntry) -> bool:
         """Returns whether a target was found dead since its last start."""
@@ -125,31 +138,49 @@
         was_dead, probe.is_dead = probe.is_dead, False
         probe.is_running = False
         probe.reference = ""
+        self.replied_sent_s = max(self.replied_sent_s, probe.sent_s)
         return was_dead
 
-    def handle_failure(
+    def handle_failure(self, name: str) -> ProbeState | None:
+        """Handles a failed probe.
+
+        Args:
+            name: Name of the target.
+
+        Returns:
+            The probe if it is unconfirmed, otherwise None.
+        """
+        probe = self.probes.get(name)
+        if probe is None or not probe.is_running:
+            return None
+        probe.is_running = False
+        self._discard_failures(name)
+        return None if probe.is_dead else probe
+
+    def has_later_reply(self, failed: ProbeState) -> bool:
+        """Returns whether a probe sent after a failed one had a reply.
+
+        Later means after its last connection attempt.
+        """
+        last_attempt_s = failed.sent_s + (ATTEMPTS - 1) * SPACING_S
+        return self.replied_sent_s > last_attempt_s
+
+    def probe_reference(
         self,
         now_s: float,
-        name: str,
+        probe: ProbeState,
         references: Iterable[target_table.TargetEntry],
     ) -> list[effects.Effect]:
-        """Handles a failed probe.
+        """Starts to confirm a failed probe.
 
         Args:
             now_s: Monotonic time in seconds.
-            name: Name of the target.
+            probe: The failed probe.
             references: Targets that have replied, the most recent one first.
 
         Returns:
             A probe of the first reference without a failed probe of its own.
         """
-        probe = self.probes.get(name)
-        if probe is None or not probe.is_running:
-            return []
-        probe.is_running = False
-        self._discard_failures(name)
-        if probe.is_dead:
-            return []
         for entry in references:
             other = self._state_of(entry)
             if other is probe or other.is_dead or other.reference:
@@ -180,19 +211,43 @@
             probe.reference = ""
             probe.is_running = False
 
-    def probe_dead(self, now_s: float) -> list[effects.Effect]:
-        """Returns probes of dead targets, which may have recovered."""
+    def remove_gone(self) -> None:
+        """Removes the probes of targets that are gone."""
         for name in [
             name for name, probe in self.probes.items() if probe.entry.is_gone
         ]:
             del self.probes[name]
-        return [
-            _send_probe(now_s, probe, attempts=1)
-            for probe in self.probes.values()
-            if probe.is_dead
-            and not probe.is_running
-            and now_s - probe.sent_s >= RECOVERY_INTERVAL_S
-        ]
+
+    def dead(self) -> list[ProbeState]:
+        """Returns the probes of dead targets, the longest ago first."""
+        found = [probe for probe in self.probes.values() if probe.is_dead]
+        return sorted(found, key=lambda probe: probe.sent_s)
+
+    def probe_dead(
+        self, now_s: float, down_domains: Container[str]
+    ) -> list[effects.Effect]:
+        """Returns probes of dead targets, which may have recovered.
+
+        Args:
+            now_s: Monotonic time in seconds.
+            down_domains: Failure domains in which most targets are dead; only
+                `DOMAIN_PROBES` of each are probed in an interval.
+        """
+        recent: collections.Counter[str] = collections.Counter()
+        due = []
+        for probe in self.dead():
+            if now_s - probe.sent_s < RECOVERY_INTERVAL_S:
+                recent[probe.entry.target.domain] += 1
+            elif not probe.is_running:
+                due.append(probe)
+        result = []
+        for probe in due:
+            domain = probe.entry.target.domain
+            if domain in down_domains and recent[domain] >= DOMAIN_PROBES:
+                continue
+            recent[domain] += 1
+            result.append(_send_probe(now_s, probe, attempts=1))
+        return result
 
 
 def is_restarted(
