--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -6,6 +6,7 @@
 from tamarack_core import failure
 from tamarack_core import flow_packets
 from tamarack_core import reducer
+from tamarack_core.internal.cookie import admission
 from tamarack_core.internal.cookie import failure_detector
 from tamarack_core.internal.cookie import flow_rejection
 from tamarack_core.internal.cookie import routes as routes_lib
@@ -45,10 +46,12 @@
         targets: Known targets.
         tracker: State of flows and targets, observed in packets.
         probes: State of the target probes.
+        admission: Admits, defers or refuses openings.
         is_stopping: Whether the host is shutting down.
     """
 
     __slots__ = (
+        "admission",
         "codec",
         "context",
         "detector",
@@ -83,6 +86,7 @@
         self.targets = subscription.targets
         self.tracker = rejector.tracker
         self.probes = detector.probes
+        self.admission = admission.AdmissionControl()
         self.is_stopping = False
 
     def handlers(self) -> dict[reducer.Key, reducer.Handler]:
@@ -183,6 +187,11 @@
             tried = self.tracker.observe_repeated_opening(now_s, packet.flow)
             result = self._probe_unresponsive(now_s, packet.flow)
         candidates = self.targets.by_service.get(service, {}).values()
+        admitted = self._decide_admission(now_s, packet, service, route, tried)
+        if admitted is admission.Admission.DEFERRED:
+            return [*result, *self.rejector.drop("opening-deferred")]
+        if admitted is admission.Admission.REFUSED:
+            return self.rejector.refuse(now_s, packet, "targets-busy", service)
         entry = target_choice.choose(
             candidates,
             self.tracker,
@@ -201,6 +210,45 @@
             return self.rejector.refuse(now_s, packet, "no-target", service)
         return result + self._forward_opening(now_s, packet, entry)
 
+    def _decide_admission(
+        self,
+        now_s: float,
+        packet: flow_packets.FlowPacket,
+        service: str,
+        route: routes_lib.RouteEntry,
+        tried: tuple[str, ...],
+    ) -> admission.Admission:
+        """Returns whether an opening is admitted.
+
+        An opening that a target did not reply to isn't repeated because of
+        load, and goes to another target.
+        """
+        entry_hosts = self.subscription.entry_hosts
+        # Most hosts have few requests in progress, and many targets to sum up.
+        if (
+            tried
+            or not entry_hosts
+            or len(self.tracker.pending) <= admission.MIN_BUSY
+        ):
+            self.admission.observe_room(service)
+            return admission.Admission.ADMITTED
+        alive = [
+            entry
+            for entry in self.targets.by_service.get(service, {}).values()
+            if not self.probes.is_dead(entry)
+        ]
+        slots = sum(max(entry.target.slots, 1) for entry in alive)
+        return self.admission.decide(
+            now_s,
+            service,
+            route.kind,
+            is_repeated=packet.copy_number > 0,
+            pending=sum(
+                self.tracker.activity_of(entry).pending for entry in alive
+            ),
+            share=slots / entry_hosts,
+        )
+
     def _probe_unresponsive(
         self, now_s: float, key: flow_packets.FlowKey
     ) -> list[effects.Effect]:
--- a/packages/core/src/tamarack_core/internal/cookie/subscription.py
+++ b/packages/core/src/tamarack_core/internal/cookie/subscription.py
@@ -32,8 +32,11 @@
 host, in seconds."""
 
 TICK_S = 0.1
-"""Interval of the timer, in seconds. Before the first document, each run sends
-a request."""
+"""Interval of the timer, in seconds."""
+
+START_TICK_S = 0.05
+"""Interval of the timer before the first document, in seconds. Each run sends
+a request, as control hosts that start together become ready one by one."""
 
 SUSPENSION_S = 0.8
 """Time without a run of the timer, in seconds, after which this host counts as
@@ -59,6 +62,8 @@
         targets: Known targets.
         seeds: Control hosts named by the settings.
         controls: Control hosts named by the publisher.
+        entry_hosts: Number of entry hosts, as far as the publisher knows; 0
+            if it doesn't.
         publisher: The control host that this host subscribes to, if any.
         run: Run of the publisher.
         position: Last change of that run that is held.
@@ -77,6 +82,7 @@
     __slots__ = (
         "context",
         "controls",
+        "entry_hosts",
         "is_confirmed",
         "is_settled",
         "local_requested_s",
@@ -113,6 +119,7 @@
         self.targets = targets
         self.seeds = seeds
         self.controls: tuple[peers.Peer, ...] = ()
+        self.entry_hosts = 0
         self.publisher: peers.Peer | None = None
         self.run = ""
         self.position = 0
@@ -155,7 +162,8 @@
         self.ticked_s = now_s
         self.targets.expire_gone(now_s)
         result += self._due_requests(now_s)
-        result.append(effects.StartTimer(TIMER, TICK_S))
+        interval_s = TICK_S if self.has_document else START_TICK_S
+        result.append(effects.StartTimer(TIMER, interval_s))
         return result
 
     def _handle_suspension(self, now_s: float) -> effects.Effect:
@@ -296,6 +304,7 @@
         self.updated_s = event.now_s
         if update.controls:
             self.controls = update.controls
+        self.entry_hosts = update.entry_hosts
         was_confirmed, self.is_confirmed = (
             self.is_confirmed,
             update.is_confirmed,
--- a/packages/core/src/tamarack_core/internal/group/document_replication.py
+++ b/packages/core/src/tamarack_core/internal/group/document_replication.py
@@ -231,7 +231,12 @@
         """Stores the sender and the live hosts that it reports."""
         message = event.message
         assert isinstance(message, sync.ControlHello)
-        self.directory.observe(event.now_s, event.sender, message.incarnation)
+        self.directory.observe(
+            event.now_s,
+            event.sender,
+            message.incarnation,
+            message.entry_hosts,
+        )
         self.directory.add_reported(event.now_s, message.known)
         return []
 
@@ -263,7 +268,13 @@
         self.directory.expire(now_s)
         self.directory.add_reported(now_s, self._members())
         live = self.directory.live(now_s)
-        hello = sync.ControlHello(self.replica.state.own.incarnation, live)
+        subscribed = len(self.publisher.entry_subscribers(now_s))
+        self.publisher.entry_hosts.observe(
+            now_s, subscribed + self.directory.entry_hosts(now_s)
+        )
+        hello = sync.ControlHello(
+            self.replica.state.own.incarnation, live, subscribed
+        )
         result = self.publisher.set_controls(now_s, live)
         result += [
             effects.SendMessage(peer, hello) for peer in self.directory.others()
--- a/packages/core/src/tamarack_core/internal/group/host_directory.py
+++ b/packages/core/src/tamarack_core/internal/group/host_directory.py
@@ -20,11 +20,13 @@
         peer: The host.
         incarnation: Identifier of its data folder.
         seen_s: Time of its last message, in seconds.
+        entry_hosts: Number of entry hosts that are subscribed to it.
     """
 
     peer: peers.Peer
     incarnation: str
     seen_s: float
+    entry_hosts: int = 0
 
 
 class ControlHostDirectory:
@@ -57,11 +59,23 @@
         self.reported_hosts: dict[peers.Endpoint, tuple[peers.Peer, float]] = {}
 
     def observe(
-        self, now_s: float, sender: peers.Peer, incarnation: str
+        self,
+        now_s: float,
+        sender: peers.Peer,
+        incarnation: str,
+        entry_hosts: int = 0,
     ) -> None:
         """Stores the sender of a message as a live control host."""
         self.known_hosts[sender.control] = KnownControlHost(
-            sender, incarnation, now_s
+            sender, incarnation, now_s, entry_hosts
+        )
+
+    def entry_hosts(self, now_s: float) -> int:
+        """Returns the entry hosts subscribed to other live control hosts."""
+        return sum(
+            known.entry_hosts
+            for known in self.known_hosts.values()
+            if now_s - known.seen_s <= LIVENESS_TIMEOUT_S
         )
 
     def add_reported(
--- a/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
+++ b/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
@@ -4,6 +4,7 @@
 from tamarack_core import effects
 from tamarack_core import events
 from tamarack_core import external_requests
+from tamarack_core import failure
 from tamarack_core import reducer
 from tamarack_core import sync
 from tamarack_core import target_announcement
@@ -48,6 +49,7 @@
         ages_sent_s: Time of the last `AnnouncementAges` message, in seconds.
         sync_sent_s: Time of the last sync requests, in seconds.
         ticked_s: Time of the last run of the timer, in seconds.
+        saved_entry_hosts: Number of entry hosts at the last write to disk.
         saved_position: Registry position at the last write to disk.
         saved_s: Time of the last write to disk, in seconds.
     """
@@ -60,6 +62,7 @@
         "publisher",
         "registry",
         "restorable",
+        "saved_entry_hosts",
         "saved_position",
         "saved_s",
         "sync_sent_s",
@@ -95,6 +98,7 @@
         self.sync_sent_s = float("-inf")
         self.ticked_s = float("inf")
         self.restorable = restorable
+        self.saved_entry_hosts = 0
         self.saved_position = 0
         self.saved_s = float("-inf")
 
@@ -114,13 +118,19 @@
         result = self.handle_tick(event)
         if self.restorable is None:
             return result
-        refused = self.registry.restore(event.now_s, self.restorable)
+        restored = self.registry.restore(event.now_s, self.restorable)
         self.restorable = None
+        reason = ""
+        if isinstance(restored, failure.Failure):
+            reason = restored.reason
+        else:
+            self.publisher.entry_hosts.saved = restored.entry_hosts
+            self.saved_entry_hosts = restored.entry_hosts
         self.saved_position = self.registry.position
         record = self.context.record(
             event.now_s,
             "targets-restored",
-            reason=refused.reason if refused is not None else "",
+            reason=reason,
             detail=f"{len(self.registry.records)} targets",
         )
         return [*result, record]
@@ -189,7 +199,9 @@
         if self._is_save_due(now_s):
             self.saved_position = self.registry.position
             self.saved_s = now_s
-            result.append(effects.SaveTargets(self.registry.encode()))
+            self.saved_entry_hosts = self._entry_hosts(now_s)
+            data = self.registry.encode(self.saved_entry_hosts)
+            result.append(effects.SaveTargets(data))
         others = self.directory.others()
         if now_s - self.ages_sent_s >= AGES_INTERVAL_S:
             result += self._broadcast_ages(now_s)
@@ -203,9 +215,17 @@
 
     def _is_save_due(self, now_s: float) -> bool:
         """Returns whether changed targets are to be written to disk."""
-        is_changed = self.saved_position != self.registry.position
+        is_changed = (
+            self.saved_position != self.registry.position
+            or self.saved_entry_hosts != self._entry_hosts(now_s)
+        )
         return is_changed and now_s - self.saved_s >= SAVE_INTERVAL_S
 
+    def _entry_hosts(self, now_s: float) -> int:
+        """Returns the number of entry hosts to save: the last one known."""
+        estimate = self.publisher.entry_hosts.estimate(now_s)
+        return estimate or self.saved_entry_hosts
+
     def _broadcast_ages(self, now_s: float) -> list[effects.Effect]:
         """Reports the targets that announced themselves here to the others."""
         self.ages_sent_s = now_s
--- a/packages/core/src/tamarack_core/internal/registry/publisher.py
+++ b/packages/core/src/tamarack_core/internal/registry/publisher.py
@@ -9,6 +9,7 @@
 from tamarack_core import reducer
 from tamarack_core import sync
 from tamarack_core.internal.documents import state_machine as machines
+from tamarack_core.internal.registry import entry_host_count
 from tamarack_core.internal.registry import route_history as histories
 from tamarack_core.internal.registry import target_registry
 
@@ -69,11 +70,13 @@
         is_push_due: Whether the timer of a delayed push is running.
         is_confirmed: Whether this host is in contact with a quorum of the
             control hosts.
+        entry_hosts: Estimate of the number of entry hosts.
     """
 
     __slots__ = (
         "context",
         "controls",
+        "entry_hosts",
         "is_confirmed",
         "is_push_due",
         "pushed_s",
@@ -106,6 +109,7 @@
         self.pushed_s = float("-inf")
         self.is_push_due = False
         self.is_confirmed = False
+        self.entry_hosts = entry_host_count.EntryHostCount()
 
     def handlers(self) -> dict[reducer.Key, reducer.Handler]:
         """Returns the event handlers by key."""
@@ -279,6 +283,7 @@
             controls=() if knows_controls else self.controls,
             document=document,
             is_confirmed=self.is_confirmed,
+            entry_hosts=self.entry_hosts.estimate(now_s),
         )
         return effects.SendMessage(subscriber.peer, update)
 
--- a/packages/core/src/tamarack_core/internal/registry/target_registry.py
+++ b/packages/core/src/tamarack_core/internal/registry/target_registry.py
@@ -25,8 +25,23 @@
 """Sequence number of the end of a target, higher than that of any
 announcement."""
 
+
+class SavedTargets(msgspec.Struct):
+    """What the next start restores.
+
+    Attributes:
+        targets: The targets that are not gone.
+        entry_hosts: Number of entry hosts; 0 if unknown.
+    """
+
+    targets: list[target_announcement.Announcement]
+    entry_hosts: int = 0
+
+
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(list[target_announcement.Announcement])
+_decoder = msgspec.msgpack.Decoder(
+    SavedTargets | list[target_announcement.Announcement]
+)
 
 
 class TargetRecord(msgspec.Struct):
@@ -172,17 +187,22 @@
         """Time without an announcement after which a target is overdue."""
         return OVERDUE_INTERVALS * self.interval_s + MAX_DELAY_S
 
-    def encode(self) -> bytes:
-        """Returns the targets that are not gone, encoded for the next start."""
-        return _encoder.encode(
-            [
-                record.target
-                for record in self.records.values()
-                if record.target.phase is not target_announcement.Phase.GONE
-            ]
-        )
+    def encode(self, entry_hosts: int = 0) -> bytes:
+        """Returns the targets that are not gone, encoded for the next start.
 
-    def restore(self, now_s: float, data: bytes) -> failure.Failure | None:
+        Args:
+            entry_hosts: Number of entry hosts; 0 if unknown.
+        """
+        targets = [
+            record.target
+            for record in self.records.values()
+            if record.target.phase is not target_announcement.Phase.GONE
+        ]
+        return _encoder.encode(SavedTargets(targets, entry_hosts))
+
+    def restore(
+        self, now_s: float, data: bytes
+    ) -> SavedTargets | failure.Failure:
         """Restores the targets that an earlier start saved.
 
         Each target counts as announced now, so it has an interval or two to
@@ -193,15 +213,17 @@
             data: What `encode` returned.
 
         Returns:
-            Why the data can't be read, or None.
+            What was restored, or why the data can't be read.
         """
         try:
-            targets = _decoder.decode(data)
+            decoded = _decoder.decode(data)
         except msgspec.DecodeError as error:
             return failure.Failure("bad-targets", str(error))
-        for target in targets:
+        # Earlier versions saved the targets alone.
+        saved = SavedTargets(decoded) if isinstance(decoded, list) else decoded
+        for target in saved.targets:
             self.put(now_s, target)
-        return None
+        return saved
 
     def _is_late(self, now_s: float, record: TargetRecord) -> bool:
         return now_s - record.announced_s > self.overdue_after_s
--- a/packages/core/src/tamarack_core/sync.py
+++ b/packages/core/src/tamarack_core/sync.py
@@ -76,6 +76,8 @@
         document: Changes of the document, if any.
         is_confirmed: Whether the sender is in contact with a quorum of the
             control hosts, so that it learns of each new document.
+        entry_hosts: Number of entry hosts, as far as the sender knows; 0 if it
+            doesn't.
     """
 
     run: str
@@ -86,6 +88,7 @@
     controls: tuple[peers.Peer, ...] = ()
     document: DocumentUpdate | None = None
     is_confirmed: bool = True
+    entry_hosts: int = 0
 
 
 class DocumentQuery(msgspec.Struct, frozen=True, tag="document-query"):
@@ -137,10 +140,12 @@
     Attributes:
         incarnation: Identifier of its data folder.
         known: Control hosts known to the sender to be alive.
+        entry_hosts: Number of entry hosts that are subscribed to the sender.
     """
 
     incarnation: str
     known: tuple[peers.Peer, ...] = ()
+    entry_hosts: int = 0
 
 
 Message = (
--- a/tests/cookie_host.py
+++ b/tests/cookie_host.py
@@ -212,6 +212,7 @@
         is_settled: bool = True,
         document: sync.DocumentUpdate | None = None,
         controls: tuple[peers.Peer, ...] = (),
+        entry_hosts: int = 0,
     ) -> None:
         """Delivers a sync update of a control host."""
         message = sync.SyncUpdate(
@@ -227,6 +228,7 @@
             ),
             controls=controls,
             document=document,
+            entry_hosts=entry_hosts,
         )
         peer = sender or control("c1")
         self.handle(events.MessageArrived(self.now_s, peer, message))
