--- a/packages/core/src/tamarack_core/internal/cookie/admission.py
+++ b/packages/core/src/tamarack_core/internal/cookie/admission.py
@@ -42,6 +42,10 @@
 MIN_BUSY = 3.0
 """Smallest limit for repeated openings."""
 
+QUEUE_AGE_S = 0.4
+"""Age up to which requests count as queued, in seconds. The reply to an older
+one went through another host, or its target does not reply at all."""
+
 SUSTAINED_S = 3.0
 """Time over the limit for new openings after which they are refused, in
 seconds. A caller gives up an opening after 1.4 s."""
@@ -90,7 +94,8 @@
             service: Service of the flow.
             kind: Whether the requests of the route may be repeated.
             is_repeated: Whether the caller has sent the opening before.
-            pending: Requests in progress at the service through this host.
+            pending: Requests in progress at the service through this host, up
+                to `QUEUE_AGE_S` old.
             share: Slots of the service that this host may use.
         """
         queued = max(QUEUED_PER_SLOT * share, MIN_QUEUED)
--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -397,6 +397,22 @@
             del self.opening[key]
         self._clear_pending(key, flow, activity)
 
+    def count_requests(self, service: str, since_s: float) -> int:
+        """Returns the number of pending requests of a service.
+
+        Args:
+            service: The service.
+            since_s: Time in seconds; older requests don't count.
+        """
+        count = 0
+        for key in reversed(self.pending):
+            flow = self.flows[key]
+            assert flow.pending_since_s is not None
+            if flow.pending_since_s < since_s:
+                break
+            count += flow.target.target.service == service
+        return count
+
     def remove_targets(self, known: Container[str]) -> None:
         """Removes targets that are no longer known and have no flows.
 
--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -243,8 +243,8 @@
             service,
             route.kind,
             is_repeated=packet.copy_number > 0,
-            pending=sum(
-                self.tracker.activity_of(entry).pending for entry in alive
+            pending=self.tracker.count_requests(
+                service, now_s - admission.QUEUE_AGE_S
             ),
             share=slots / entry_hosts,
         )
