--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,9 @@
 # One build script for the whole workspace; every target does its own set-up.
 PYTHON ?= python3
 BIN := .venv/bin
-STAMP := .venv/.installed
+# An environment of another kind of machine or interpreter is made anew.
+MACHINE := $(shell $(PYTHON) -c 'import platform; print(platform.machine(), platform.python_version(), sep="-")')
+STAMP := .venv/.installed-$(MACHINE)
 PACKAGES := $(foreach p,core node ctl lab,-e packages/$(p)) -e platform
 SOURCES := packages platform tests
 TOOLS := hypothesis import-linter mypy pytest ruff testtools types-tabulate
@@ -11,7 +13,7 @@
 setup: $(STAMP)
 
 $(STAMP): constraints.txt $(wildcard packages/*/pyproject.toml) platform/pyproject.toml
-	$(PYTHON) -m venv .venv
+	$(PYTHON) -m venv --clear .venv
 	$(BIN)/pip install --quiet -c constraints.txt setuptools wheel
 	$(BIN)/pip install --quiet -c constraints.txt $(TOOLS)
 	$(BIN)/pip install --quiet -c constraints.txt --no-build-isolation $(PACKAGES)
