--- a/packages/node/src/tamarack_node/internal/driver.py
+++ b/packages/node/src/tamarack_node/internal/driver.py
@@ -6,7 +6,6 @@
 import asyncio
 import collections
 import dataclasses
-import itertools
 import logging
 import pathlib
 import signal
@@ -17,17 +16,19 @@
 from tamarack_core import effects
 from tamarack_core import events
 from tamarack_core import messages
-from tamarack_core import reducer
+from tamarack_core import refusal
 from tamarack_core import requests
 from tamarack_core import timeline
 from tamarack_core.storage import disk as disks
 from tamarack_node import settings as settings_lib
 from tamarack_node import start_signals
 from tamarack_node.internal import aiohttp_sender
+from tamarack_node.internal import event_handling
 from tamarack_node.internal import http_server
 from tamarack_node.internal import logs
 from tamarack_node.internal import message_signer
 from tamarack_node.internal import metrics
+from tamarack_node.internal import pending_requests
 from tamarack_node.internal import timers
 from tamarack_node.internal import transport
 from tamarack_node.internal.storage import errors as storage_errors
@@ -64,7 +65,6 @@
         "_fabric",
         "_folder",
         "_pending",
-        "_request_ids",
         "_server",
         "_signer",
         "_timers",
@@ -106,8 +106,7 @@
         )
         self.stopped: asyncio.Future[effects.Stop] = loop.create_future()
         self._timers = timers.TimerService(loop, self._handle_timer)
-        self._pending: dict[int, asyncio.Future[requests.Response]] = {}
-        self._request_ids = itertools.count(1)
+        self._pending = pending_requests.PendingRequests(_stop_response)
         self._data_socket: socket.socket | None = None
         self._fabric: tuple[str, int] | None = None
         self._server = http_server.HttpServer(
@@ -153,18 +152,13 @@
         Args:
             request: The request.
         """
-        request_id = next(self._request_ids)
-        future: asyncio.Future[requests.Response] = (
-            asyncio.get_running_loop().create_future()
+        return await self._pending.handle(request, self._submit)
+
+    def _submit(self, request_id: int, request: requests.Request) -> None:
+        """Passes a request to the core."""
+        self._handle(
+            events.RequestArrived(time.monotonic(), request_id, request)
         )
-        self._pending[request_id] = future
-        try:
-            self._handle(
-                events.RequestArrived(time.monotonic(), request_id, request)
-            )
-            return await future
-        finally:
-            del self._pending[request_id]
 
     async def _open(self) -> None:
         """Opens all sockets and installs the signal handlers."""
@@ -194,8 +188,12 @@
             self._signer.reload()
 
     async def _close(self) -> None:
-        """Cancels the timers and closes all sockets and the data folder."""
+        """Cancels the timers and closes all sockets and the data folder.
+
+        Requests that were accepted get their responses first.
+        """
         self._timers.stop()
+        self._pending.stop()
         if self._data_socket is not None:
             asyncio.get_running_loop().remove_reader(self._data_socket)
             self._data_socket.close()
@@ -233,7 +231,7 @@
 
     def _handle(self, event: events.Event) -> None:
         """Applies an event and executes the effects."""
-        for effect in reducer.reduce(self.node, event):
+        for effect in event_handling.reduce(self.node, event):
             if type(effect) is effects.SendDatagram:
                 self._send_datagram(effect)
             else:
@@ -247,9 +245,7 @@
             case effects.StartTimer(timer, delay_s):
                 self._timers.start(timer, delay_s)
             case effects.Respond(request_id, response):
-                future = self._pending.get(request_id)
-                if future is not None and not future.done():
-                    future.set_result(response)
+                self._pending.respond(request_id, response)
             case effects.Record(entry):
                 self._record(entry)
             case effects.Persist() | effects.SaveSnapshot():
@@ -309,6 +305,22 @@
             self.stopped.set_result(stop)
 
 
+def _stop_response(request: requests.Request) -> requests.Response:
+    """Returns the response to a request that a stop overtakes.
+
+    A patch or a change of members may have been replicated already.
+    """
+    if isinstance(request, requests.SubmitPatch):
+        return requests.PatchVerdict(
+            requests.PatchState.UNKNOWN,
+            reason="this host stops; send the patch again with the same id",
+        )
+    detail = "this host stops; send the request to another one"
+    if isinstance(request, requests.ChangeMember):
+        detail = "this host stops; read the members before another attempt"
+    return refusal.Refused("stopping", detail)
+
+
 def _create_signer(
     settings: settings_lib.Settings,
 ) -> message_signer.MessageSigner | None:
--- a/packages/node/src/tamarack_node/internal/http1.py
+++ b/packages/node/src/tamarack_node/internal/http1.py
@@ -9,14 +9,22 @@
 import asyncio
 from collections.abc import Awaitable
 from collections.abc import Callable
+import logging
 import socket
 
 import httptools
 import msgspec
 
+from tamarack_node.internal import logs
+
 MAX_BODY_BYTES = 8 * 1024 * 1024
 """Largest body that is accepted; a document of 16,000 routes takes 4 MB."""
 
+CLOSE_TIMEOUT_S = 0.3
+"""Time in which a closed listener sends its last responses, in seconds."""
+
+CLOSE_POLL_S = 0.005
+
 MAX_HEADER_BYTES = 16 * 1024
 """Largest total of header names and values of a request."""
 
@@ -105,6 +113,7 @@
         "_handler",
         "_header_bytes",
         "_idle_timer",
+        "_is_closing",
         "_open_connections",
         "_parser",
         "_path",
@@ -126,6 +135,7 @@
         self._queue: list[tuple[HttpRequest, bool]] = []
         self._worker: asyncio.Task[None] | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
+        self._is_closing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -201,7 +211,9 @@
         try:
             while self._queue:
                 request, keeps_alive = self._queue.pop(0)
-                response = await self._handler(request)
+                response = await self._respond(request)
+                if self._is_closing and not self._queue:
+                    keeps_alive = False
                 if self._transport is None:
                     return
                 self._transport.write(_encode_response(response, keeps_alive))
@@ -212,6 +224,21 @@
         finally:
             self._worker = None
 
+    async def _respond(self, request: HttpRequest) -> HttpResponse:
+        """Returns the response of the handler; 500 if the handler fails."""
+        try:
+            return await self._handler(request)
+        except Exception as error:
+            fields = {"path": request.path, "detail": repr(error)}
+            logs.event("request-failed", logging.ERROR, fields)
+            return HttpResponse(500)
+
+    def finish(self) -> None:
+        """Closes the connection after the responses to its requests."""
+        self._is_closing = True
+        if self._worker is None and self._transport is not None:
+            self._transport.close()
+
 
 def _encode_response(response: HttpResponse, keeps_alive: bool) -> bytes:
     """Returns the encoded response."""
@@ -263,10 +290,20 @@
             backlog=256,
         )
 
-    def close(self) -> None:
-        """Closes the listener and aborts all connections."""
+    async def close(self) -> None:
+        """Closes the listener and all connections.
+
+        Requests that have arrived get their responses, within
+        `CLOSE_TIMEOUT_S`.
+        """
         if self._server is not None:
             self._server.close()
+        for connection in list(self.connections):
+            connection.finish()
+        loop = asyncio.get_running_loop()
+        end_s = loop.time() + CLOSE_TIMEOUT_S
+        while self.connections and loop.time() < end_s:
+            await asyncio.sleep(CLOSE_POLL_S)
         for connection in list(self.connections):
             connection.abort()
 
--- a/packages/node/src/tamarack_node/light_driver.py
+++ b/packages/node/src/tamarack_node/light_driver.py
@@ -11,7 +11,6 @@
 import collections
 from collections.abc import Awaitable
 from collections.abc import Callable
-import itertools
 import logging
 import os
 import signal
@@ -25,14 +24,17 @@
 from tamarack_core import effects
 from tamarack_core import envelopes
 from tamarack_core import events
+from tamarack_core import external_requests
 from tamarack_core import peers
 from tamarack_core import reducer
 from tamarack_core import timeline
 from tamarack_node import start_signals
+from tamarack_node.internal import event_handling
 from tamarack_node.internal import http1
 from tamarack_node.internal import light_sender
 from tamarack_node.internal import log_stream
 from tamarack_node.internal import logs
+from tamarack_node.internal import pending_requests
 from tamarack_node.internal import tcp_probe
 from tamarack_node.internal import text_metrics
 from tamarack_node.internal import timers
@@ -56,6 +58,9 @@
 TIMELINE_PATH = "/v1/timeline"
 METRICS_DELAY_S = 1.0
 """Time after the start at which the metrics are served, in seconds."""
+STOPPED_RETRY_S = 0.1
+"""Time after which a caller may try another host, in seconds."""
+
 EXIT_DISK_FAILED = 4
 
 METRICS_PORT = 9464
@@ -126,7 +131,6 @@
         "_metrics_task",
         "_pending",
         "_probes",
-        "_request_ids",
         "_timers",
         "addresses",
         "entries",
@@ -172,9 +176,8 @@
         )
         self._http_codec = http_codec
         self._timers = timers.TimerService(loop, self._handle_timer)
-        self._pending: dict[int, asyncio.Future[requests.Response]] = {}
+        self._pending = pending_requests.PendingRequests(_stop_response)
         self._probes: set[asyncio.Task[None]] = set()
-        self._request_ids = itertools.count(1)
         self._data_socket: socket.socket | None = None
         self._listeners: list[http1.HttpListener] = []
         self._metrics_task: asyncio.Task[None] | None = None
@@ -202,7 +205,7 @@
         Args:
             event: The event.
         """
-        for effect in reducer.reduce(self.node, event):
+        for effect in event_handling.reduce(self.node, event):
             if type(effect) is effects.SendDatagram:
                 self._send_datagram(effect)
             else:
@@ -286,13 +289,18 @@
         self._listeners.append(listener)
 
     async def _close(self) -> None:
-        """Cancels the timers and closes all sockets and the writer."""
+        """Cancels the timers and closes all sockets and the writer.
+
+        Requests that were accepted get their responses first.
+        """
         self._timers.stop()
+        self._pending.stop()
         if self._data_socket is not None:
             asyncio.get_running_loop().remove_reader(self._data_socket)
             self._data_socket.close()
-        for listener in self._listeners:
-            listener.close()
+        await asyncio.gather(
+            *(listener.close() for listener in self._listeners)
+        )
         await self.transport.close()
         if self.writer is not None:
             self.writer.close()
@@ -334,9 +342,7 @@
             case effects.StartTimer(timer, delay_s):
                 self._timers.start(timer, delay_s)
             case effects.Respond(request_id, response):
-                future = self._pending.get(request_id)
-                if future is not None and not future.done():
-                    future.set_result(response)
+                self._pending.respond(request_id, response)
             case effects.Record(entry):
                 self.entries.append(entry)
                 logs.entry(entry)
@@ -400,17 +406,13 @@
         self, request: requests.Request
     ) -> requests.Response:
         """Passes a request to the reducer and returns the response."""
-        request_id = next(self._request_ids)
-        loop = asyncio.get_running_loop()
-        future: asyncio.Future[requests.Response] = loop.create_future()
-        self._pending[request_id] = future
-        try:
-            self.handle(
-                events.RequestArrived(time.monotonic(), request_id, request)
-            )
-            return await future
-        finally:
-            del self._pending[request_id]
+        return await self._pending.handle(request, self._submit)
+
+    def _submit(self, request_id: int, request: requests.Request) -> None:
+        """Passes a request to the core."""
+        self.handle(
+            events.RequestArrived(time.monotonic(), request_id, request)
+        )
 
     async def _handle_internal(
         self, request: http1.HttpRequest
@@ -435,6 +437,14 @@
         )
 
 
+def _stop_response(request: requests.Request) -> requests.Response:
+    """Returns the response to a request that a stop overtakes.
+
+    It doesn't say whether the request had an effect.
+    """
+    return external_requests.Unavailable("stopping", STOPPED_RETRY_S)
+
+
 def set_up_log(level: str) -> None:
     """Configures logging to standard output, rate-limited and non-blocking.
 
--- /dev/null
+++ b/tests/cover/test_light_driver.py
@@ -0,0 +1,191 @@
+"""Driver of the light hosts: planned stops and unexpected errors.
+
+Seen by operators of similar systems: a planned stop under load cut off requests
+that had just been accepted, and one malformed message ended a process.
+"""
+
+import asyncio
+import socket
+import time
+
+import testtools
+
+from tamarack_core import context as context_lib
+from tamarack_core import document_control
+from tamarack_core import effects
+from tamarack_core import events
+from tamarack_core import external_requests
+from tamarack_core import peers
+from tamarack_core import reducer
+from tamarack_core import sync
+from tamarack_node import light_driver
+from tamarack_node.internal import event_handling
+from tamarack_node.internal import http1
+
+ADDRESS = "127.4.8.1"
+INTERNAL, PUBLIC, DATA = 17720, 18166, 18172
+OWN = peers.Peer("h1", "a", peers.Endpoint(ADDRESS, INTERNAL))
+TIMEOUT_S = 5.0
+TICK_S = 0.02
+
+
+class Codec:
+    """Translates each HTTP request to a read, and each response to a status."""
+
+    def decode(self, request):
+        return external_requests.ReadDocument()
+
+    def encode(self, request, response):
+        if isinstance(response, external_requests.Unavailable):
+            return http1.HttpResponse(503, response.reason.encode())
+        return http1.HttpResponse(200)
+
+
+class Component:
+    """Component that never responds to requests, and fails on demand.
+
+    Attributes:
+        ticks: Number of timer events.
+        handled: Types of the other events, in order.
+        failing: Whether all handlers but that of a stop fail.
+    """
+
+    def __init__(self):
+        self.ticks = 0
+        self.handled = []
+        self.failing = False
+
+    def handlers(self):
+        return {
+            events.Started: self.handle_tick,
+            events.StopRequested: self.handle_stop,
+            events.DatagramArrived: self.handle_other,
+            "tick": self.handle_tick,
+            sync.ControlHello: self.handle_other,
+            external_requests.ReadDocument: self.handle_other,
+        }
+
+    def handle_tick(self, event):
+        self.ticks += 1
+        self.check()
+        return [effects.StartTimer("tick", TICK_S)]
+
+    def handle_other(self, event):
+        self.check()
+        self.handled.append(type(event))
+        return []
+
+    def handle_stop(self, event):
+        return [effects.Stop(0, "stop requested")]
+
+    def check(self):
+        if self.failing:
+            raise RuntimeError("injected")
+
+
+class DriverCase(testtools.TestCase):
+    """Base of tests with a driver on loopback."""
+
+    def run_driver(self, play):
+        """Runs a driver while a coroutine plays against it.
+
+        Args:
+            play: Called with the driver and the component.
+
+        Returns:
+            What `play` returned.
+        """
+
+        async def run():
+            component = Component()
+            context = context_lib.Context(OWN, 1)
+            driver = light_driver.LightDriver(
+                reducer.Node(context, (component,)),
+                light_driver.Addresses(
+                    OWN.control,
+                    peers.Endpoint(ADDRESS, PUBLIC),
+                    peers.Endpoint(ADDRESS, DATA),
+                ),
+                Codec(),
+                document_control.CODEC,
+            )
+            running = asyncio.create_task(driver.run())
+            async with asyncio.timeout(TIMEOUT_S):
+                while not component.ticks:
+                    await asyncio.sleep(0.005)
+                result = await play(driver, component)
+                driver.handle(events.StopRequested(time.monotonic()))
+                await running
+            return result
+
+        return asyncio.run(run())
+
+    async def request(self, *paths):
+        """Sends requests on one connection; returns all that is received."""
+        reader, writer = await asyncio.open_connection(ADDRESS, PUBLIC)
+        for path in paths:
+            writer.write(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
+        try:
+            return await reader.read()
+        finally:
+            writer.close()
+
+
+class StopTest(DriverCase):
+    """Load: requests without a response at the moment of a planned stop."""
+
+    def test_accepted_requests_get_a_response(self):
+        async def play(driver, component):
+            callers = [
+                asyncio.create_task(self.request("/a", "/b")) for _ in range(20)
+            ]
+            while len(component.handled) < len(callers):
+                await asyncio.sleep(0.005)
+            driver.handle(events.StopRequested(time.monotonic()))
+            return await asyncio.gather(*callers)
+
+        for received in self.run_driver(play):
+            self.assertEqual(2, received.count(b"HTTP/1.1 503"), received)
+            self.assertTrue(received.endswith(b"stopping"))
+
+
+class UnexpectedErrorTest(DriverCase):
+    """Faults: the handlers of all events fail for a while."""
+
+    def test_the_host_goes_on(self):
+        async def play(driver, component):
+            component.failing = True
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                sender.sendto(b"packet", (ADDRESS, DATA))
+            answer = asyncio.create_task(self.request("/a"))
+            driver.handle(
+                events.MessageArrived(
+                    time.monotonic(), OWN, sync.ControlHello("i-1")
+                )
+            )
+            await asyncio.sleep(3 * TICK_S)
+            failed = driver.node.context.counters["handler-failed"]
+            component.failing = False
+            ticks = component.ticks
+            while component.ticks < ticks + 3:
+                await asyncio.sleep(TICK_S)
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                sender.sendto(b"packet", (ADDRESS, DATA))
+            while not component.handled:
+                await asyncio.sleep(TICK_S)
+            driver.handle(events.StopRequested(time.monotonic()))
+            return failed, await answer
+
+        failed, received = self.run_driver(play)
+        # A datagram, a message, a request and a timer.
+        self.assertEqual(4, failed)
+        self.assertIn(b"HTTP/1.1 500", received)
+
+    def test_a_failed_timer_fires_again(self):
+        component = Component()
+        component.failing = True
+        node = reducer.Node(context_lib.Context(OWN, 1), (component,))
+        result = event_handling.reduce(node, events.TimerFired(1.0, "tick"))
+        self.assertEqual(
+            [effects.StartTimer("tick", event_handling.TIMER_RETRY_S)], result
+        )
--- a/tests/cover/test_small_http.py
+++ b/tests/cover/test_small_http.py
@@ -30,7 +30,7 @@
                     return await reader.read()
             finally:
                 writer.close()
-                listener.close()
+                await listener.close()
 
         return asyncio.run(run())
 
