--- a/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
+++ b/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
@@ -1,9 +1,11 @@
 """Failure detector for targets, based on probes and stalled flows.
 
-A target is probed when a caller retransmits to it, when it is overdue while it
-has flows, when another host suspects it, and when another target of its
-failure domain was found dead. The results count for this host only; other
-hosts run their own probes.
+A target is probed when a caller retransmits to it, and while it has flows
+through this host, when it is overdue, when another host found it dead, and when
+another target of its failure domain was found dead. The results count for this
+host only; other hosts run their own probes. A report about a target without
+flows keeps openings away from it for a while, and costs no probe: where there
+are hundreds of hosts, few of them have flows with one target.
 """
 
 import collections
@@ -24,6 +26,10 @@
 time is newer."""
 
 
+OVERDUE_REPLY_S = 2.0
+"""Time after a reply in which an overdue target is not probed, in seconds. Its
+announcements may be lost where control hosts are cut off from one another."""
+
 MIN_DOWN_TARGETS = 4
 """Dead targets from which on a failure domain may count as down. Fewer of them
 may have crashed independently, and probing each of them costs little."""
@@ -196,20 +202,31 @@
     def handle_suspects(
         self, event: events.MessageArrived
     ) -> list[effects.Effect]:
-        """Probes the targets that another host suspects."""
+        """Probes reported targets with flows, and avoids the others."""
         message = event.message
         assert isinstance(message, sync.SuspectTargets)
         now_s = event.now_s
-        entries = map(self.targets.by_name.get, message.targets)
+        result: list[effects.Effect] = []
+        for entry in map(self.targets.by_name.get, message.targets):
+            if entry is None or entry.is_gone or self.probes.is_dead(entry):
+                continue
+            activity = self.tracker.activity_of(entry)
+            if activity.has_replied(now_s, RECENT_REPLY_S):
+                continue
+            activity.reported_s = now_s
+            if activity.flows:
+                result += self.probes.probe(now_s, entry, is_reported=True)
+        return result
+
+    def probe_overdue(self, now_s: float) -> list[effects.Effect]:
+        """Probes overdue targets with flows that have not replied lately."""
         return [
             effect
-            for entry in entries
-            if entry is not None
-            and not entry.is_gone
-            and not self.probes.is_dead(entry)
-            and now_s - self.tracker.activity_of(entry).liveness.last_reply_s
-            > RECENT_REPLY_S
-            for effect in self.probes.probe(now_s, entry, is_reported=True)
+            for entry in self.targets.by_name.values()
+            if entry.is_overdue
+            and (activity := self.tracker.activity_of(entry)).flows
+            and not activity.has_replied(now_s, OVERDUE_REPLY_S)
+            for effect in self.probes.probe(now_s, entry)
         ]
 
     def _probe_neighbors(
--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -44,6 +44,10 @@
 its caller sends after the last packet don't count as a flow that was opened
 through another host."""
 
+REPORT_LIFETIME_S = 3.0
+"""Time for which a target that another host found dead gets no openings, in
+seconds. After it the announcements of a dead target are overdue."""
+
 SUSPENSION_S = 0.8
 """Time without a packet or a timer, in seconds, after which this host counts as
 suspended. Retransmissions read after that prove nothing about targets."""
@@ -87,6 +91,7 @@
         pending: Those of them whose last request has no reply.
         reply_s: Usual time from a request to its reply, in seconds.
         last_opening: Number of the last opening packet that it was sent.
+        reported_s: Time of the last report that it is dead, in seconds.
     """
 
     liveness: target_liveness.TargetLiveness
@@ -96,6 +101,7 @@
     pending: int = 0
     reply_s: float = 0.0
     last_opening: int = 0
+    reported_s: float = float("-inf")
 
     @property
     def work(self) -> int:
@@ -137,9 +143,18 @@
 
     def is_avoided(self, now_s: float) -> bool:
         """Returns whether the target or its failure domain is avoided."""
-        return self.liveness.is_avoided(
-            now_s
-        ) or self.domain_liveness.is_avoided(now_s)
+        return (
+            self.liveness.is_avoided(now_s)
+            or self.domain_liveness.is_avoided(now_s)
+            or self._is_reported(now_s)
+        )
+
+    def _is_reported(self, now_s: float) -> bool:
+        """Returns whether it was reported dead and has not replied since."""
+        return (
+            now_s - self.reported_s < REPORT_LIFETIME_S
+            and self.liveness.last_reply_s < self.reported_s
+        )
 
     def is_suspect(self, now_s: float) -> bool:
         """Returns whether the target is suspect, apart from its domain."""
--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -118,10 +118,9 @@
         result: list[effects.Effect] = [
             effects.StartTimer(TIMER, TICK_S),
             *self.detector.probe_dead(now_s),
+            *self.detector.probe_overdue(now_s),
         ]
         for entry in self.targets.by_name.values():
-            if entry.is_overdue and self.tracker.activity_of(entry).flows:
-                result += self.probes.probe(now_s, entry)
             if (
                 entry.gone_s is not None
                 and now_s - entry.gone_s >= WITHDRAWAL_GRACE_S
--- a/tests/cover/test_probe_costs.py
+++ b/tests/cover/test_probe_costs.py
@@ -10,6 +10,7 @@
 from testtools import matchers
 
 from tamarack_core import target_announcement
+from tamarack_core.internal.cookie import failure_detector
 from tamarack_core.internal.cookie import target_probes
 from tests import cookie_host
 
@@ -132,6 +133,26 @@
         self.assertThat(self.answered, matchers.LessThan(4))
 
 
+class OverdueTest(HostCase):
+    """Fault: control hosts are cut off from one another for six seconds.
+
+    Announcements that reach one side are overdue at the other.
+    """
+
+    def test_overdue_targets_that_reply_are_seldom_probed(self):
+        overdue = [
+            target_announcement.KnownTarget(known, True) for known in self.known
+        ]
+        self.host.update(*overdue, base=1, position=2)
+        self.run_for(6.0)
+        interval_s = failure_detector.OVERDUE_REPLY_S
+        self.assertThat(
+            self.answered,
+            matchers.LessThan(TARGETS * (6.0 / interval_s + 1) + 1),
+        )
+        self.assertEqual(set(), self.dead())
+
+
 class CrashTest(HostCase):
     """Fault: three of twenty targets crash, and return one by one."""
 
