--- a/packages/core/src/tamarack_core/internal/group/document_replication.py
+++ b/packages/core/src/tamarack_core/internal/group/document_replication.py
@@ -17,6 +17,7 @@
 from tamarack_core.internal.consensus import membership
 from tamarack_core.internal.consensus import outputs
 from tamarack_core.internal.consensus import replica as replicas
+from tamarack_core.internal.consensus import replication
 from tamarack_core.internal.documents import state_machine as machines
 from tamarack_core.internal.group import host_directory
 from tamarack_core.internal.group import membership_policy
@@ -230,7 +231,12 @@
         """Stores the sender and the live hosts that it reports."""
         message = event.message
         assert isinstance(message, sync.ControlHello)
-        self.directory.observe(event.now_s, event.sender, message.incarnation)
+        self.directory.observe(
+            event.now_s,
+            event.sender,
+            message.incarnation,
+            message.entry_hosts,
+        )
         self.directory.add_reported(event.now_s, message.known)
         return []
 
@@ -239,11 +245,14 @@
     ) -> list[effects.Effect]:
         """Runs the maintenance.
 
-        It retries publish requests and responds to them, announces this host to
-        the other control hosts and, at the leader, repairs the membership.
+        It retries publish requests and responds to them, tells subscribers
+        whether there is contact with a quorum, announces this host to the
+        other control hosts and, at the leader, repairs the membership.
         """
         now_s = event.now_s
         result: list[effects.Effect] = [effects.StartTimer(TIMER, TICK_S)]
+        is_confirmed = replication.is_confirmed(self.replica.state, now_s)
+        result += self.publisher.set_confirmed(now_s, is_confirmed)
         for step in self.publish_requests.retry(now_s):
             result += self._collect_effects(now_s, step)
         result += self.publish_requests.respond_to_pending(now_s)
@@ -259,7 +268,13 @@
         self.directory.expire(now_s)
         self.directory.add_reported(now_s, self._members())
         live = self.directory.live(now_s)
-        hello = sync.ControlHello(self.replica.state.own.incarnation, live)
+        subscribed = len(self.publisher.entry_subscribers(now_s))
+        self.publisher.entry_hosts.observe(
+            now_s, subscribed + self.directory.entry_hosts(now_s)
+        )
+        hello = sync.ControlHello(
+            self.replica.state.own.incarnation, live, subscribed
+        )
         result = self.publisher.set_controls(now_s, live)
         result += [
             effects.SendMessage(peer, hello) for peer in self.directory.others()
--- a/packages/core/src/tamarack_core/internal/registry/publisher.py
+++ b/packages/core/src/tamarack_core/internal/registry/publisher.py
@@ -9,6 +9,7 @@
 from tamarack_core import reducer
 from tamarack_core import sync
 from tamarack_core.internal.documents import state_machine as machines
+from tamarack_core.internal.registry import entry_host_count
 from tamarack_core.internal.registry import route_history as histories
 from tamarack_core.internal.registry import target_registry
 
@@ -42,6 +43,7 @@
         is_control: Whether it is a control host.
         requested_s: Time of its last request, in seconds.
         controls: Control hosts that it was sent.
+        is_confirmed: Whether it was told that this host is confirmed.
     """
 
     peer: peers.Peer
@@ -50,6 +52,7 @@
     is_control: bool
     requested_s: float
     controls: tuple[peers.Peer, ...] = ()
+    is_confirmed: bool = False
 
 
 class Publisher:
@@ -65,11 +68,16 @@
         started_s: Time of the start, in seconds.
         pushed_s: Time of the last push, in seconds.
         is_push_due: Whether the timer of a delayed push is running.
+        is_confirmed: Whether this host is in contact with a quorum of the
+            control hosts.
+        entry_hosts: Estimate of the number of entry hosts.
     """
 
     __slots__ = (
         "context",
         "controls",
+        "entry_hosts",
+        "is_confirmed",
         "is_push_due",
         "pushed_s",
         "registry",
@@ -100,12 +108,15 @@
         self.started_s = float("inf")
         self.pushed_s = float("-inf")
         self.is_push_due = False
+        self.is_confirmed = False
+        self.entry_hosts = entry_host_count.EntryHostCount()
 
     def handlers(self) -> dict[reducer.Key, reducer.Handler]:
         """Returns the event handlers by key."""
         return {
             events.Started: self.handle_started,
             sync.SyncRequest: self.handle_request,
+            sync.DocumentQuery: self.handle_query,
             TIMER: self.handle_timer,
         }
 
@@ -146,6 +157,17 @@
             )
         return result
 
+    def handle_query(
+        self, event: events.MessageArrived
+    ) -> list[effects.Effect]:
+        """Sends the document that the sender lacks, without subscribing it."""
+        query = event.message
+        assert isinstance(query, sync.DocumentQuery)
+        answer = sync.DocumentAnswer(
+            self.is_confirmed, self.routes.changes_since(query.number)
+        )
+        return [effects.SendMessage(event.sender, answer)]
+
     def publish_documents(
         self, now_s: float, machine: machines.DocumentStateMachine
     ) -> list[effects.Effect]:
@@ -170,6 +192,23 @@
         self.controls = controls
         return self.push(now_s)
 
+    def set_confirmed(
+        self, now_s: float, is_confirmed: bool
+    ) -> list[effects.Effect]:
+        """Sets whether this host is in contact with a quorum.
+
+        A change is pushed, so that entry hosts follow another control host
+        while this one learns of no new document.
+        """
+        if is_confirmed == self.is_confirmed:
+            return []
+        self.is_confirmed = is_confirmed
+        name = "quorum-regained" if is_confirmed else "quorum-lost"
+        record = self.context.record(
+            now_s, name, version=self.routes.document.number
+        )
+        return [record, *self.push(now_s)]
+
     def push(self, now_s: float) -> list[effects.Effect]:
         """Sends subscribers what they lack, now or when the timer fires.
 
@@ -219,6 +258,7 @@
         return (
             subscriber.number < self.routes.document.number
             or subscriber.controls != self.controls
+            or subscriber.is_confirmed != self.is_confirmed
         )
 
     def _update(self, now_s: float, subscriber: Subscriber) -> effects.Effect:
@@ -233,6 +273,7 @@
         subscriber.position = self.registry.position
         subscriber.number = max(subscriber.number, self.routes.document.number)
         subscriber.controls = self.controls
+        subscriber.is_confirmed = self.is_confirmed
         update = sync.SyncUpdate(
             run=self.run,
             base=base,
@@ -241,6 +282,8 @@
             targets=self.registry.changes_since(base),
             controls=() if knows_controls else self.controls,
             document=document,
+            is_confirmed=self.is_confirmed,
+            entry_hosts=self.entry_hosts.estimate(now_s),
         )
         return effects.SendMessage(subscriber.peer, update)
 
--- a/packages/core/src/tamarack_core/sync.py
+++ b/packages/core/src/tamarack_core/sync.py
@@ -74,6 +74,10 @@
         targets: Targets that changed.
         controls: Control hosts that the sender knows; empty if unchanged.
         document: Changes of the document, if any.
+        is_confirmed: Whether the sender is in contact with a quorum of the
+            control hosts, so that it learns of each new document.
+        entry_hosts: Number of entry hosts, as far as the sender knows; 0 if it
+            doesn't.
     """
 
     run: str
@@ -83,6 +87,31 @@
     targets: tuple[target_announcement.KnownTarget, ...] = ()
     controls: tuple[peers.Peer, ...] = ()
     document: DocumentUpdate | None = None
+    is_confirmed: bool = True
+    entry_hosts: int = 0
+
+
+class DocumentQuery(msgspec.Struct, frozen=True, tag="document-query"):
+    """Query of an entry host that follows another control host.
+
+    Attributes:
+        number: Number of the document that the sender holds.
+    """
+
+    number: int
+
+
+class DocumentAnswer(msgspec.Struct, frozen=True, tag="document-answer"):
+    """Answer to a `DocumentQuery`.
+
+    Attributes:
+        is_confirmed: Whether the sender is in contact with a quorum of the
+            control hosts.
+        document: Changes that the receiver lacks, if any.
+    """
+
+    is_confirmed: bool
+    document: DocumentUpdate | None = None
 
 
 class AnnouncementAges(msgspec.Struct, frozen=True, tag="heard"):
@@ -111,12 +140,20 @@
     Attributes:
         incarnation: Identifier of its data folder.
         known: Control hosts known to the sender to be alive.
+        entry_hosts: Number of entry hosts that are subscribed to the sender.
     """
 
     incarnation: str
     known: tuple[peers.Peer, ...] = ()
+    entry_hosts: int = 0
 
 
 Message = (
-    SyncRequest | SyncUpdate | AnnouncementAges | SuspectTargets | ControlHello
+    SyncRequest
+    | SyncUpdate
+    | DocumentQuery
+    | DocumentAnswer
+    | AnnouncementAges
+    | SuspectTargets
+    | ControlHello
 )
