--- a/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
+++ b/packages/core/src/tamarack_core/internal/cookie/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detector for targets, based on probes and stalled flows.
+"""Failure detector for targets, based on probes.
 
 A target is probed when a caller retransmits to it, and while it has flows
 through this host, when it is overdue, when another host found it dead, and when
@@ -269,22 +269,26 @@
         )
 
     def _references(self) -> Iterator[target_table.TargetEntry]:
-        """Yields the targets that have replied, the most recent one first."""
+        """Yields the targets that have replied, the most recent one first.
+
+        Those with stalled flows come last: if they are dead as well, they
+        confirm nothing, and the failure has to be found again.
+        """
+        stalled = []
         for name in reversed(self.tracker.responsive):
             entry = self.targets.by_name.get(name)
-            if entry is not None and not entry.is_gone:
+            if entry is None or entry.is_gone:
+                continue
+            if self.tracker.activity_of(entry).liveness.stalled_flows:
+                stalled.append(entry)
+            else:
                 yield entry
+        yield from stalled
 
-    def should_reset_flows(
-        self, now_s: float, entry: target_table.TargetEntry
-    ) -> bool:
+    def should_reset_flows(self, entry: target_table.TargetEntry) -> bool:
         """Returns whether the flows of a target are to be reset.
 
-        Less evidence is needed if the target is overdue as well.
+        Only probes show that a target is dead. Stalled flows alone may have
+        their cause at this host or in its links, and its target serves.
         """
-        if self.probes.is_dead(entry):
-            return True
-        activity = self.tracker.activity_of(entry)
-        if entry.is_overdue and activity.is_suspect(now_s):
-            return True
-        return activity.is_unresponsive(now_s)
+        return self.probes.is_dead(entry)
--- a/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
+++ b/packages/core/src/tamarack_core/internal/cookie/flow_tracker.py
@@ -156,16 +156,6 @@
             and self.liveness.last_reply_s < self.reported_s
         )
 
-    def is_suspect(self, now_s: float) -> bool:
-        """Returns whether the target is suspect, apart from its domain."""
-        return self.liveness.is_suspect(now_s)
-
-    def is_unresponsive(self, now_s: float) -> bool:
-        """Returns whether open flows should be reset."""
-        return self.liveness.is_unresponsive(
-            now_s
-        ) or self.domain_liveness.is_unresponsive(now_s)
-
 
 class FlowTracker:
     """Tracks flows and targets by the packets of callers.
--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -304,7 +304,7 @@
         is_retransmission = self.tracker.observe_packet(now_s, entry, packet)
         if packet.is_last and not packet.payload_bytes:
             return self._send_to_target(packet, entry)
-        if self.detector.should_reset_flows(now_s, entry):
+        if self.detector.should_reset_flows(entry):
             return self._reset_flow(now_s, packet, entry, "target-silent")
         result = self._send_to_target(packet, entry)
         if is_retransmission:
--- a/packages/core/src/tamarack_core/internal/cookie/target_liveness.py
+++ b/packages/core/src/tamarack_core/internal/cookie/target_liveness.py
@@ -1,9 +1,10 @@
 """Liveness of targets and failure domains, based on several flows each.
 
-It has to detect targets that crash without closing their flows and failure
-domains that are cut off, although single packets are lost and single requests
-take long. Replies bypass this host: it only sees that a caller retransmits a
-packet, or that its acknowledgement number advances.
+It keeps openings away from targets that crash without closing their flows and
+from failure domains that are cut off, until probes have shown whether they are
+dead. Single packets are lost and single requests take long. Replies bypass this
+host: it only sees that a caller retransmits a packet, or that its
+acknowledgement number advances.
 """
 
 import msgspec
@@ -21,35 +22,23 @@
 
 
 class Thresholds(msgspec.Struct, frozen=True):
-    """Evidence that is needed to suspect a target, or to reset its flows.
+    """Evidence that is needed to suspect a target.
 
     Attributes:
         suspect_flows: Stalled flows from which on new flows are avoided.
         suspect_s: Time without a reply that is needed as well, in seconds.
-        unresponsive_flows: Stalled flows from which on open flows are reset.
-        unresponsive_s: Time for which flows must have been stalled as well, in
-            seconds.
     """
 
     suspect_flows: int
     suspect_s: float
-    unresponsive_flows: int
-    unresponsive_s: float
 
 
-TARGET = Thresholds(
-    suspect_flows=2, suspect_s=0.18, unresponsive_flows=3, unresponsive_s=0.6
-)
+TARGET = Thresholds(suspect_flows=2, suspect_s=0.18)
 """Thresholds for one target. Callers retransmit after 0.2 s, and one packet in
-a thousand is lost, so a single retransmission is weak evidence. It is
-assumed that no request lasts 0.6 s without another one of the same target
-completing meanwhile."""
+a thousand is lost, so a single retransmission is weak evidence."""
 
-DOMAIN = Thresholds(
-    suspect_flows=4, suspect_s=0.18, unresponsive_flows=5, unresponsive_s=0.35
-)
-"""Thresholds for all targets of a failure domain together. Some of them always
-reply, so less time is needed."""
+DOMAIN = Thresholds(suspect_flows=4, suspect_s=0.18)
+"""Thresholds for all targets of a failure domain together."""
 
 
 class TargetLiveness(msgspec.Struct):
@@ -58,7 +47,6 @@
     Attributes:
         thresholds: Evidence that is needed.
         stalled_flows: Flows with a retransmission since the last reply.
-        stalled_since_s: Time of the first of these retransmissions, in seconds.
         last_retransmission_s: Time of the last one, in seconds.
         last_reply_s: Time of the last reply, in seconds.
         last_trial_s: Time of the last opening packet sent while suspect, in
@@ -69,7 +57,6 @@
     stalled_flows: set[flow_packets.FlowKey] = msgspec.field(
         default_factory=set
     )
-    stalled_since_s: float = 0.0
     last_retransmission_s: float = float("-inf")
     last_reply_s: float = float("-inf")
     last_trial_s: float = float("-inf")
@@ -80,8 +67,6 @@
         """Records that a caller repeated a packet of a flow."""
         if now_s - self.last_retransmission_s > EVIDENCE_LIFETIME_S:
             self.stalled_flows.clear()
-        if not self.stalled_flows:
-            self.stalled_since_s = now_s
         self.last_retransmission_s = now_s
         self.stalled_flows.add(key)
 
@@ -116,14 +101,6 @@
         is_trial_recent = now_s - self.last_trial_s <= TRIAL_INTERVAL_S
         return is_trial_recent and self.is_suspect(now_s)
 
-    def is_unresponsive(self, now_s: float) -> bool:
-        """Returns whether open flows should be reset."""
-        return (
-            self._has_recent_evidence(now_s)
-            and len(self.stalled_flows) >= self.thresholds.unresponsive_flows
-            and now_s - self.stalled_since_s >= self.thresholds.unresponsive_s
-        )
-
     def _has_recent_evidence(self, now_s: float) -> bool:
         """Returns whether a caller has retransmitted recently."""
         return now_s - self.last_retransmission_s <= EVIDENCE_LIFETIME_S
--- a/tests/cover/test_cookie_entry.py
+++ b/tests/cover/test_cookie_entry.py
@@ -139,15 +139,22 @@
 
     def test_an_unresponsive_domain_gets_no_openings_and_resets_flows(self):
         host = self.start()
+        self.exchange(host, 90, "a-0")
         for number in range(8):
             self.exchange(host, number, f"b-{number % 2}")
-        results = self.retransmit_unanswered(host, ["b-0", "b-1"], range(8))
-        self.assertEqual({"reset"}, set(results))
+        self.retransmit_unanswered(host, ["b-0", "b-1"], range(8))
+        self.assertEqual([], host.resets)
         opened = [host.open(number) for number in range(20, 40)]
         self.assertThat(
             [name for name in opened if name.startswith("b")],
             matchers.HasLength(1),
         )
+        for name in ("b-0", "b-1"):
+            host.complete_probe(name, is_answered=False)
+            host.complete_probe("a-0", is_answered=True)
+        self.assertEqual(9, len(host.resets))
+        opened = {host.open(number) for number in range(40, 60)}
+        self.assertEqual({"a-0", "a-1"}, opened)
 
     def test_a_domain_that_replies_again_is_used_again(self):
         host = self.start()
@@ -172,6 +179,19 @@
             host.complete_probe(name, is_answered=True)
         self.assertEqual("b-1", host.send(50, "b-1", payload_bytes=10))
 
+    def test_stalled_flows_without_a_failed_probe_reset_no_flow(self):
+        # A host reset 18 flows of targets that served, 3.7 s after the targets
+        # had seen them last, since five flows of one domain were stalled.
+        host = self.start()
+        for number in range(8):
+            self.exchange(host, number, f"b-{number % 2}")
+        results = self.retransmit_unanswered(host, ["b-0", "b-1"], range(8))
+        self.assertEqual({"b-0", "b-1"}, set(results))
+        for name in ("b-0", "b-1"):
+            host.complete_probe(name, is_answered=True)
+        results = self.retransmit_unanswered(host, ["b-0", "b-1"], range(8))
+        self.assertEqual({"b-0", "b-1"}, set(results))
+
     def test_stalled_flows_of_long_ago_reset_no_flow(self):
         host = self.start()
         for number in range(8):
