--- a/packages/core/src/tamarack_core/internal/cookie/subscription.py
+++ b/packages/core/src/tamarack_core/internal/cookie/subscription.py
@@ -12,6 +12,8 @@
 what it holds.
 """
 
+import collections
+
 from tamarack_core import context as context_lib
 from tamarack_core import effects
 from tamarack_core import events
@@ -20,6 +22,7 @@
 from tamarack_core import sync
 from tamarack_core.internal.cookie import routes as routes_lib
 from tamarack_core.internal.cookie import target_table
+from tamarack_core.internal.registry import target_registry
 
 TIMER = "mirror"
 
@@ -357,18 +360,16 @@
         self, now_s: float, update: sync.SyncUpdate
     ) -> list[effects.Effect]:
         """Applies the targets of an update whose base is held."""
-        result = [
-            self._record_target(now_s, entry)
+        changed = [
+            entry
             for known in update.targets
             if (entry := self.targets.put(now_s, known)) is not None
         ]
         is_whole = update.base == 0
         if is_whole and update.is_settled:
             names = {known.target.name for known in update.targets}
-            result += [
-                self._record_target(now_s, entry)
-                for entry in self.targets.mark_missing_overdue(names)
-            ]
+            changed += self.targets.mark_missing_overdue(names)
+        result = self._record_targets(now_s, changed)
         if update.run != self.run:
             self.run = update.run
             self.position = 0
@@ -376,6 +377,22 @@
         self.is_settled = self.is_settled or update.is_settled
         return result
 
+    def _record_targets(
+        self, now_s: float, changed: list[target_table.TargetEntry]
+    ) -> list[effects.Effect]:
+        """Returns the time line entries of the targets of one update.
+
+        Many changes at once make one entry: a start of hundreds of hosts before
+        hundreds of targets would make as many lines as both multiplied.
+        """
+        if len(changed) <= target_registry.MAX_CHANGE_ENTRIES:
+            return [self._record_target(now_s, entry) for entry in changed]
+        phases = collections.Counter(
+            "overdue" if entry.is_overdue else entry.target.phase.name.lower()
+            for entry in changed
+        )
+        return [target_registry.record_changes(self.context, now_s, phases)]
+
     def _record_target(
         self, now_s: float, entry: target_table.TargetEntry
     ) -> effects.Effect:
--- a/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
+++ b/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
@@ -1,5 +1,7 @@
 """Receives announcements and shares them among the control hosts."""
 
+import collections
+
 from tamarack_core import context as context_lib
 from tamarack_core import effects
 from tamarack_core import events
@@ -271,10 +273,21 @@
         if not changed:
             return []
         return [
-            *(self._record(event.now_s, target) for target in changed),
+            *self._record_all(event.now_s, changed),
             *self.publisher.push(event.now_s),
         ]
 
+    def _record_all(
+        self, now_s: float, changed: list[target_announcement.Announcement]
+    ) -> list[effects.Effect]:
+        """Returns the time line entries of targets that changed at once."""
+        if len(changed) <= target_registry.MAX_CHANGE_ENTRIES:
+            return [self._record(now_s, target) for target in changed]
+        phases = collections.Counter(
+            target.phase.name.lower() for target in changed
+        )
+        return [target_registry.record_changes(self.context, now_s, phases)]
+
     def _assumed_age_s(self, known: target_announcement.KnownTarget) -> float:
         """Returns the age to assume for an announcement of another host."""
         return 2 * self.registry.overdue_after_s if known.is_overdue else 0.0
