--- a/packages/core/src/tamarack_core/internal/cookie/subscription.py
+++ b/packages/core/src/tamarack_core/internal/cookie/subscription.py
@@ -20,9 +20,9 @@
 from tamarack_core import peers
 from tamarack_core import reducer
 from tamarack_core import sync
+from tamarack_core.internal import change_entries
 from tamarack_core.internal.cookie import routes as routes_lib
 from tamarack_core.internal.cookie import target_table
-from tamarack_core.internal.registry import target_registry
 
 TIMER = "mirror"
 
@@ -380,18 +380,14 @@
     def _record_targets(
         self, now_s: float, changed: list[target_table.TargetEntry]
     ) -> list[effects.Effect]:
-        """Returns the time line entries of the targets of one update.
-
-        Many changes at once make one entry: a start of hundreds of hosts before
-        hundreds of targets would make as many lines as both multiplied.
-        """
-        if len(changed) <= target_registry.MAX_CHANGE_ENTRIES:
+        """Returns the time line entries of the targets of one update."""
+        if len(changed) <= change_entries.MAX_ENTRIES:
             return [self._record_target(now_s, entry) for entry in changed]
         phases = collections.Counter(
             "overdue" if entry.is_overdue else entry.target.phase.name.lower()
             for entry in changed
         )
-        return [target_registry.record_changes(self.context, now_s, phases)]
+        return [change_entries.summarize(self.context, now_s, phases)]
 
     def _record_target(
         self, now_s: float, entry: target_table.TargetEntry
--- a/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
+++ b/packages/core/src/tamarack_core/internal/registry/announcement_receiver.py
@@ -10,6 +10,7 @@
 from tamarack_core import reducer
 from tamarack_core import sync
 from tamarack_core import target_announcement
+from tamarack_core.internal import change_entries
 from tamarack_core.internal.group import host_directory
 from tamarack_core.internal.registry import publisher as publishers
 from tamarack_core.internal.registry import target_registry
@@ -281,12 +282,12 @@
         self, now_s: float, changed: list[target_announcement.Announcement]
     ) -> list[effects.Effect]:
         """Returns the time line entries of targets that changed at once."""
-        if len(changed) <= target_registry.MAX_CHANGE_ENTRIES:
+        if len(changed) <= change_entries.MAX_ENTRIES:
             return [self._record(now_s, target) for target in changed]
         phases = collections.Counter(
             target.phase.name.lower() for target in changed
         )
-        return [target_registry.record_changes(self.context, now_s, phases)]
+        return [change_entries.summarize(self.context, now_s, phases)]
 
     def _assumed_age_s(self, known: target_announcement.KnownTarget) -> float:
         """Returns the age to assume for an announcement of another host."""
--- a/packages/core/src/tamarack_core/internal/registry/target_registry.py
+++ b/packages/core/src/tamarack_core/internal/registry/target_registry.py
@@ -1,12 +1,9 @@
 """Registry of announced targets at a control host."""
 
-import collections
 import itertools
 
 import msgspec
 
-from tamarack_core import context as context_lib
-from tamarack_core import effects
 from tamarack_core import failure
 from tamarack_core import target_announcement
 
@@ -24,9 +21,6 @@
 """Time without an announcement after which a target counts as gone, in
 seconds."""
 
-MAX_CHANGE_ENTRIES = 8
-"""Targets changed by one message up to which each has a time line entry."""
-
 GONE_SEQUENCE = 1 << 62
 """Sequence number of the end of a target, higher than that of any
 announcement."""
@@ -285,22 +279,6 @@
             del self._by_endpoint[_endpoint_key(target)]
 
 
-def record_changes(
-    context: context_lib.Context,
-    now_s: float,
-    phases: collections.Counter[str],
-) -> effects.Effect:
-    """Returns the time line entry of many targets that changed at once.
-
-    Args:
-        context: Identity and clocks of the host.
-        now_s: Monotonic time in seconds.
-        phases: Number of targets by phase.
-    """
-    counts = ", ".join(f"{count} {phase}" for phase, count in phases.items())
-    return context.record(now_s, "targets-changed", detail=counts)
-
-
 def _endpoint_key(target: target_announcement.Announcement) -> tuple[str, int]:
     return (target.endpoint.address, target.endpoint.port)
 
--- a/tests/cover/test_change_entries.py
+++ b/tests/cover/test_change_entries.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from tamarack_core.internal.registry import target_registry
+from tamarack_core.internal import change_entries
 from tests import cookie_host
 
 
@@ -39,7 +39,7 @@
         self.assertEqual("235 ready", entry.detail)
 
     def test_a_few_changes_are_described_one_by_one(self):
-        count = target_registry.MAX_CHANGE_ENTRIES
+        count = change_entries.MAX_ENTRIES
         entries = self.entries(self.start(count))
         self.assertEqual(count, len(entries))
         self.assertEqual({"target-changed"}, {e.name for e in entries})
