--- a/tests/slow/test_control_hosts.py
+++ b/tests/slow/test_control_hosts.py
@@ -15,6 +15,7 @@
 import time
 
 import testtools
+from testtools import content as content_lib
 
 from tamarack_core import peers
 from tamarack_lab.proxy import settings as proxy_settings
@@ -201,6 +202,7 @@
         ]
         for daemon in self.daemons:
             self.addCleanup(daemon.kill)
+        self.addOnException(self.attach_logs)
 
     def write_keys(self, *names):
         """Writes the key file that all hosts read."""
@@ -215,6 +217,14 @@
             for daemon in self.daemons:
                 daemon.process.send_signal(signal.SIGHUP)
 
+    def attach_logs(self, _):
+        """Adds the logs of the hosts to the report of a failure."""
+        for daemon in self.daemons:
+            self.addDetail(
+                daemon.log_file.name,
+                content_lib.text_content(daemon.log_file.read_text()),
+            )
+
     def read(self, path, port):
         """Returns the response of a host, or None without a success."""
         try:
