--- a/packages/node/src/tamarack_node/internal/event_handling.py
+++ b/packages/node/src/tamarack_node/internal/event_handling.py
@@ -1,6 +1,7 @@
 """Passes events to the core; an unexpected error ends no loop and no timer."""
 
 import logging
+import traceback
 
 from tamarack_core import effects
 from tamarack_core import events
@@ -36,13 +37,14 @@
         return reducer.reduce(node, event)
     except Exception as error:
         node.context.counters["handler-failed"] += 1
+        frame = traceback.extract_tb(error.__traceback__)[-1]
         fields = {
             "reason": type(error).__name__,
             "detail": str(error),
+            "place": f"{frame.filename}:{frame.lineno}",
             "input": repr(event)[:MAX_EVENT_CHARACTERS],
         }
         logs.event("handler-failed", logging.ERROR, fields)
-        logging.getLogger(__name__).debug("handler failed", exc_info=True)
         if isinstance(event, events.RequestArrived | events.Started):
             raise
         if isinstance(event, events.TimerFired):
