--- a/packages/ctl/src/tamarack_ctl/internal/log_lines.py
+++ b/packages/ctl/src/tamarack_ctl/internal/log_lines.py
@@ -1,5 +1,6 @@
 """Parses the time line out of the log lines of hosts."""
 
+from collections.abc import Collection
 from collections.abc import Iterable
 import json
 import re
@@ -11,7 +12,9 @@
 _TEXT_FIELDS = ("service", "target", "flow", "verdict", "reason", "detail")
 
 
-def read(lines: Iterable[str]) -> tuple[list[timeline.Entry], int]:
+def read(
+    lines: Iterable[str], required: Collection[str] = ()
+) -> tuple[list[timeline.Entry], int]:
     """Returns the time line entries in log lines.
 
     Text before the key=value pairs of a line is ignored, because log collectors
@@ -19,11 +22,15 @@
 
     Args:
         lines: Lines of one or several hosts, in any order.
+        required: Texts without which a line is skipped; parsing the lines of
+            hundreds of hosts takes longer than searching them.
 
     Returns:
-        The entries, and the number of lines without a complete entry.
+        The entries, and the number of other lines without a complete entry.
     """
-    parsed = [_entry(line) for line in lines]
+    parsed = [
+        _entry(line) for line in lines if all(text in line for text in required)
+    ]
     entries = [entry for entry in parsed if entry is not None]
     return entries, len(parsed) - len(entries)
 
--- a/packages/ctl/src/tamarack_ctl/internal/timeline.py
+++ b/packages/ctl/src/tamarack_ctl/internal/timeline.py
@@ -53,6 +53,13 @@
             and self.name in entry.name
         )
 
+    def texts(self) -> list[str]:
+        """Returns the texts that the log line of each such entry contains."""
+        texts = [self.service, self.target, self.flow, self.name]
+        if self.version:
+            texts.append(f"version={self.version}")
+        return [text for text in texts if text]
+
 
 def merge(
     parts: Iterable[list[timeline_lib.Entry]],
@@ -88,8 +95,9 @@
     "--log",
     "logs",
     multiple=True,
-    type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
-    help="Read this log file instead of querying hosts; may be repeated.",
+    type=click.Path(exists=True, path_type=pathlib.Path),
+    help="Read this log file, or all files in this folder, instead of querying"
+    " hosts; may be repeated.",
 )
 def timeline(
     hosts: tuple[peers.Endpoint, ...],
@@ -106,13 +114,15 @@
 
     Example: tamarack timeline --service agenda --since 2026-12-01T22:00:00
 
-    Example: tamarack timeline --log day.log --flow 100.66.0.18:1042
+    Example: tamarack timeline --log logs/ --flow 100.66.0.18:1042
     """
     if not hosts and not logs:
         raise click.UsageError("name hosts with --host, or files with --log")
     entry_filter = Filter(service, target, flow, version, name)
     since_ms = _since_ms(since)
-    parts, missing = _read(logs) if logs else _query(hosts, since_ms)
+    parts, missing = (
+        _read(logs, entry_filter) if logs else _query(hosts, since_ms)
+    )
     entries = [
         entry
         for entry in merge(parts)
@@ -153,14 +163,24 @@
     return parts, missing
 
 
+def _log_files(logs: tuple[pathlib.Path, ...]) -> list[pathlib.Path]:
+    """Returns the files named, and those in the folders named."""
+    return [
+        file
+        for path in logs
+        for file in (sorted(path.iterdir()) if path.is_dir() else [path])
+        if file.is_file()
+    ]
+
+
 def _read(
-    logs: tuple[pathlib.Path, ...],
+    logs: tuple[pathlib.Path, ...], entry_filter: Filter
 ) -> tuple[list[list[timeline_lib.Entry]], list[str]]:
     """Returns the entries of log files and reports lines without an entry."""
     parts = []
-    for path in logs:
+    for path in _log_files(logs):
         with path.open(encoding="utf-8", errors="replace") as lines:
-            entries, others = log_lines.read(lines)
+            entries, others = log_lines.read(lines, entry_filter.texts())
         parts.append(entries)
         if others:
             click.echo(f"{path}: {others} lines without an entry", err=True)
--- a/tests/cover/test_log_lines.py
+++ b/tests/cover/test_log_lines.py
@@ -120,8 +120,26 @@
         self.assertEqual(0, result.exit_code, result.output)
         printed = json.loads(result.stdout)
         self.assertEqual(["b", "a"], [entry["host"] for entry in printed])
+
+    def test_lines_without_an_entry_are_counted(self):
+        path = self.write(self.entry("a", 3, "host-started"), more="Killed\n")
+        result = self.run_command("--log", path)
         self.assertIn("1 lines without an entry", result.stderr)
 
+    def test_all_files_of_a_folder_are_read(self):
+        path = self.write(self.entry("a", 3, "version-in-force", version=7))
+        other = path.with_name("other.log")
+        other.write_text(
+            line_of(self.entry("b", 2, "version-in-force", version=70))
+        )
+        (path.parent / "folder").mkdir()
+        for version, hosts in ((0, ["b", "a"]), (7, ["a"]), (70, ["b"])):
+            result = self.run_command(
+                "--log", path.parent, "--version", version, "--json"
+            )
+            printed = json.loads(result.stdout)
+            self.assertEqual(hosts, [entry["host"] for entry in printed])
+
     def test_neither_hosts_nor_logs_is_a_usage_error(self):
         result = self.run_command()
         self.assertEqual(2, result.exit_code)
