--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -223,12 +223,10 @@
         load, and goes to another target.
         """
         entry_hosts = self.subscription.entry_hosts
+        if tried or not entry_hosts:
+            return admission.Admission.ADMITTED
         # Most hosts have few requests in progress, and many targets to sum up.
-        if (
-            tried
-            or not entry_hosts
-            or len(self.tracker.pending) <= admission.MIN_BUSY
-        ):
+        if len(self.tracker.pending) <= admission.MIN_BUSY:
             self.admission.observe_room(service)
             return admission.Admission.ADMITTED
         alive = [
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -116,6 +116,31 @@
         self.assertEqual("t-2", host.open(50))
         self.assertEqual("t-1", host.open(50, copy_number=1))
 
+    def test_what_exceeds_full_queues_for_long_is_refused(self):
+        # An opening that goes on to another target proves no room.
+        host = self.start(2, pending=0)
+        self.assertIn(host.open(90), ("t-1", "t-2"))
+        for number in range(36):
+            for flow in range(12):
+                host.send(flow, "t-1", sequence=number * 10 + 1)
+                host.send(
+                    flow,
+                    "t-1",
+                    acknowledged=number,
+                    sequence=number * 10 + 1,
+                    payload_bytes=10,
+                )
+            answer = host.open(100 + number)
+            host.open(90, copy_number=1)
+            host.tick(0.1)
+        self.assertEqual("reset", answer)
+        (refusal,) = {
+            (record.entry.reason, record.entry.verdict)
+            for record in host.records
+            if record.entry.name == "flow-refused"
+        }
+        self.assertEqual(("targets-busy", "not-run"), refusal)
+
 
 class ReturnWaveTest(testtools.TestCase):
     """Load: twelve hosts return at once after two seconds; 62% busy targets."""
