--- a/packages/core/src/tamarack_core/internal/cookie/forwarder.py
+++ b/packages/core/src/tamarack_core/internal/cookie/forwarder.py
@@ -223,12 +223,10 @@
         load, and goes to another target.
         """
         entry_hosts = self.subscription.entry_hosts
+        if tried or not entry_hosts:
+            return admission.Admission.ADMITTED
         # Most hosts have few requests in progress, and many targets to sum up.
-        if (
-            tried
-            or not entry_hosts
-            or len(self.tracker.pending) <= admission.MIN_BUSY
-        ):
+        if len(self.tracker.pending) <= admission.MIN_BUSY:
             self.admission.observe_room(service)
             return admission.Admission.ADMITTED
         alive = [
@@ -304,7 +302,7 @@
         is_retransmission = self.tracker.observe_packet(now_s, entry, packet)
         if packet.is_last and not packet.payload_bytes:
             return self._send_to_target(packet, entry)
-        if self.detector.should_reset_flows(now_s, entry):
+        if self.detector.should_reset_flows(entry):
             return self._reset_flow(now_s, packet, entry, "target-silent")
         result = self._send_to_target(packet, entry)
         if is_retransmission:
