--- a/packages/core/src/tamarack_core/internal/registry/publisher.py
+++ b/packages/core/src/tamarack_core/internal/registry/publisher.py
@@ -24,11 +24,6 @@
 """Time in which a host without a document gets no second response, in seconds.
 A host that starts repeats its request before a large document has arrived."""
 
-REPEAT_S_PER_TARGET = 0.0005
-"""Time that is added to it for each target, in seconds. A response takes that
-much longer to build, and to pass the link of the host. If hundreds of hosts
-repeat their requests sooner, later responses delay the first ones."""
-
 PUSH_INTERVAL_S = 0.03
 """Shortest time between two pushes, in seconds. When thousands of targets
 announce themselves at once, their changes are sent together."""
@@ -138,7 +133,7 @@
         assert isinstance(request, sync.SyncRequest)
         held = self.subscribers.get(event.sender.host)
         requested_s = float("-inf") if held is None else held.requested_s
-        if request.is_first and event.now_s - requested_s < self._repeat_s():
+        if request.is_first and event.now_s - requested_s < MIN_REPEAT_S:
             return []
         is_same_run = request.run == self.run
         subscriber = Subscriber(
@@ -162,11 +157,6 @@
             )
         return result
 
-    def _repeat_s(self) -> float:
-        """Returns the time in which a starting host gets no second response."""
-        targets = len(self.registry.records)
-        return MIN_REPEAT_S + REPEAT_S_PER_TARGET * targets
-
     def handle_query(
         self, event: events.MessageArrived
     ) -> list[effects.Effect]:
